--- a/src/fakes/crashworld.cpp
+++ b/src/fakes/crashworld.cpp
@@ -1,4 +1,4 @@
-#include "crashworld.h"
+#include "crashsimulation.h"
 
 #include "relayharness.h"
 
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -1,4 +1,4 @@
-#include "../fakes/crashworld.h"
+#include "../fakes/crashsimulation.h"
 #include "../fakes/relayharness.h"
 
 #include <catch2/catch.hpp>
