--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -5,7 +5,7 @@
 
 #include "textserver.h"
 
-#include <balsamloft/enginebook.h>
+#include <balsamloft/enginetracker.h>
 #include <balsamloft/enginefleet.h>
 #include <balsamloft/newsanswer.h>
 
--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <balsamloft/enginebook.h>
+#include <balsamloft/enginetracker.h>
 
 #include <random>
 #include <set>
--- a/src/libbalsamloft/enginebook.cpp
+++ b/src/libbalsamloft/enginebook.cpp
@@ -1,4 +1,4 @@
-#include <balsamloft/enginebook.h>
+#include <balsamloft/enginetracker.h>
 
 #include <algorithm>
 #include <cmath>
