--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -12,7 +12,7 @@
 #include <balsamloft/lease.h>
 #include <balsamloft/membership.h>
 #include <balsamloft/peersocket.h>
-#include <balsamloft/placementkeeper.h>
+#include <balsamloft/placementmanager.h>
 
 namespace balsamloft {
 
--- a/src/libbalsamloft/placementkeeper.cpp
+++ b/src/libbalsamloft/placementkeeper.cpp
@@ -1,4 +1,4 @@
-#include <balsamloft/placementkeeper.h>
+#include <balsamloft/placementmanager.h>
 
 #include "jsonreader.h"
 
