--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -7,7 +7,7 @@
 
 #include <balsamloft/enginetracker.h>
 #include <balsamloft/enginefleet.h>
-#include <balsamloft/newsanswer.h>
+#include <balsamloft/tableupdate.h>
 
 #include <boost/asio/steady_timer.hpp>
 
--- a/src/entry/tablesource.cpp
+++ b/src/entry/tablesource.cpp
@@ -4,7 +4,7 @@
 #include "clock.h"
 #include "peerserver.h"
 
-#include <balsamloft/newsanswer.h>
+#include <balsamloft/tableupdate.h>
 
 namespace balsamloft {
 
--- a/src/fakes/newsemulator.cpp
+++ b/src/fakes/newsemulator.cpp
@@ -1,6 +1,6 @@
 #include "newsemulator.h"
 
-#include <balsamloft/newsanswer.h>
+#include <balsamloft/tableupdate.h>
 
 #include <algorithm>
 #include <utility>
--- a/src/libpeer/newsanswer.cpp
+++ b/src/libpeer/newsanswer.cpp
@@ -1,4 +1,4 @@
-#include <balsamloft/newsanswer.h>
+#include <balsamloft/tableupdate.h>
 
 #include "newsrows.h"
 
