--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -16,7 +16,7 @@
 
 # Name, file, text, replacement, programs to build, CTest name of the proof.
 SAFEGUARDS = [
-    ("a large row is told packed", "src/libpeer/newsanswer.cpp",
+    ("a large row is told packed", "src/libpeer/tableupdate.cpp",
      "rows.size() >= FewRows || bytes > FewBytes", "rows.size() >= FewRows",
      "newsspread_test: a large configuration is in force everywhere within two seconds of each change"),
     ("an answer under way is waited for", "src/libbalsamloft/calllimits.cpp",
