--- a/src/fakes/newsemulator.cpp
+++ b/src/fakes/newsemulator.cpp
@@ -1,4 +1,4 @@
-#include "newsemulator.h"
+#include "propagationemulator.h"
 
 #include <balsamloft/tableupdate.h>
 
--- a/src/libbalsamloft/newsspread_test.cpp
+++ b/src/libbalsamloft/newsspread_test.cpp
@@ -1,7 +1,7 @@
 // How knowledge of the store spreads among hundreds of instances, and what that
 // costs the store, in virtual time.
 
-#include "../fakes/newsemulator.h"
+#include "../fakes/propagationemulator.h"
 
 #include <catch2/catch.hpp>
 
