--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -4,7 +4,7 @@
 #include "control.h"
 #include "decisionlog.h"
 
-#include <balsamloft/askschedule.h>
+#include <balsamloft/pollschedule.h>
 
 namespace balsamloft {
 
--- a/src/libbalsamloft/askschedule.cpp
+++ b/src/libbalsamloft/askschedule.cpp
@@ -1,4 +1,4 @@
-#include <balsamloft/askschedule.h>
+#include <balsamloft/pollschedule.h>
 
 #include <cmath>
 
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -1,6 +1,6 @@
 // What an entry instance knows, and how old that is.
 
-#include <balsamloft/askschedule.h>
+#include <balsamloft/pollschedule.h>
 #include <balsamloft/enginefleet.h>
 #include <balsamloft/eventsplitter.h>
 #include <balsamloft/instancelist.h>
