--- a/src/include/balsamloft/configexchange.h
+++ b/src/include/balsamloft/configexchange.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <balsamloft/configkeeper.h>
+#include <balsamloft/configmanager.h>
 #include <balsamloft/peermessage.h>
 
 namespace balsamloft {
--- a/src/libbalsamloft/configkeeper.cpp
+++ b/src/libbalsamloft/configkeeper.cpp
@@ -1,6 +1,6 @@
 // Following: reading heads, changes and snapshots from the platform and peers.
 
-#include <balsamloft/configkeeper.h>
+#include <balsamloft/configmanager.h>
 
 #include "jsonreader.h"
 
--- a/src/libbalsamloft/configkeeper_test.cpp
+++ b/src/libbalsamloft/configkeeper_test.cpp
@@ -1,4 +1,4 @@
-#include <balsamloft/configkeeper.h>
+#include <balsamloft/configmanager.h>
 
 #include <catch2/catch.hpp>
 
--- a/src/libbalsamloft/configproposals.cpp
+++ b/src/libbalsamloft/configproposals.cpp
@@ -1,6 +1,6 @@
 // Proposing: edits, rebasing, the conditional commit, and lost answers.
 
-#include <balsamloft/configkeeper.h>
+#include <balsamloft/configmanager.h>
 
 #include <algorithm>
 
--- a/src/libweb/fuzzcases.cpp
+++ b/src/libweb/fuzzcases.cpp
@@ -1,7 +1,7 @@
 #include "fuzzcases.h"
 
 #include <balsamloft/callerapi.h>
-#include <balsamloft/configkeeper.h>
+#include <balsamloft/configmanager.h>
 #include <balsamloft/enginewire.h>
 #include <balsamloft/entryprotocol.h>
 #include <balsamloft/peersocket.h>
