--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -201,7 +201,7 @@
      "m_proposals.front().uncertain ? ProposalOutcome::Kind::Unknown",
      "false ? ProposalOutcome::Kind::Unknown",
      "control_test: the answer is lost and the platform goes down"),
-    ("never down a version", "src/libbalsamloft/configkeeper.cpp",
+    ("never down a version", "src/libbalsamloft/configmanager.cpp",
      "if (snapshot.head.version <= m_head.version)\n        return;", "",
      "configkeeper_test: an old snapshot changes nothing"),
     ("doubt is told to whom it concerns", "src/libbalsamloft/membership.cpp",
