--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -203,7 +203,7 @@
      "control_test: the answer is lost and the platform goes down"),
     ("never down a version", "src/libbalsamloft/configmanager.cpp",
      "if (snapshot.head.version <= m_head.version)\n        return;", "",
-     "configkeeper_test: an old snapshot changes nothing"),
+     "configmanager_test: an old snapshot changes nothing"),
     ("doubt is told to whom it concerns", "src/libbalsamloft/membership.cpp",
      "reply.members.push_back(it->second.news);\n    return true;", "return false;",
      "control_test: a domain cut off from platform and peers, then healed"),
