--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "enginepool.h"
+#include "connectionpool.h"
 
 #include <balsamloft/eventsplitter.h>
 #include <balsamloft/readfreshness.h>
--- a/src/entry/enginepool.cpp
+++ b/src/entry/enginepool.cpp
@@ -1,4 +1,4 @@
-#include "enginepool.h"
+#include "connectionpool.h"
 
 #include "clock.h"
 #include "sockets.h"
--- a/src/entry/onecall.h
+++ b/src/entry/onecall.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "enginepool.h"
+#include "connectionpool.h"
 
 #include <balsamloft/calllimits.h>
 #include <balsamloft/entryprotocol.h>
