--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -319,7 +319,7 @@
     ("age of keys", "src/entry/trafficfront.cpp",
      "return m_state.keyAge(bootNow()) < m_settings.revocation - KeyMargin;", "return true;",
      "testsuite: an unknown key is refused, and so is a known one once the store was silent too long"),
-    ("the echo of an answer", "src/entry/enginepool.cpp",
+    ("the echo of an answer", "src/entry/connectionpool.cpp",
      "interim || (!m_settings.requestId.empty() && echoed && *echoed != m_settings.requestId);",
      "interim;",
      "testsuite: what an endpoint sends that is no answer to the request reaches nobody"),
