--- a/src/entry/onecall.cpp
+++ b/src/entry/onecall.cpp
@@ -1,4 +1,4 @@
-#include "onecall.h"
+#include "timedcall.h"
 
 #include "clock.h"
 
--- a/src/entry/storechannel.h
+++ b/src/entry/storechannel.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "entrystate.h"
-#include "onecall.h"
+#include "timedcall.h"
 
 #include <balsamloft/entryprotocol.h>
 
