--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -4,7 +4,7 @@
 #include "control.h"
 #include "decisionlog.h"
 #include "settings.h"
-#include "textserver.h"
+#include "simplehttpserver.h"
 #include "trafficfront.h"
 
 #include <boost/asio/executor_work_guard.hpp>
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "textserver.h"
+#include "simplehttpserver.h"
 
 #include <balsamloft/enginetracker.h>
 #include <balsamloft/enginefleet.h>
--- a/src/entry/textserver.cpp
+++ b/src/entry/textserver.cpp
@@ -1,4 +1,4 @@
-#include "textserver.h"
+#include "simplehttpserver.h"
 
 #include "sockets.h"
 
