--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -4,7 +4,7 @@
 #include "clock.h"
 #include "decisionlog.h"
 #include "fieldtext.h"
-#include "trafficfront.h"
+#include "trafficserver.h"
 
 #include <boost/asio/write.hpp>
 
--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -3,7 +3,7 @@
 #include "callersession.h"
 #include "clock.h"
 #include "fieldtext.h"
-#include "trafficfront.h"
+#include "trafficserver.h"
 
 #include <algorithm>
 
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -5,7 +5,7 @@
 #include "clock.h"
 #include "fieldtext.h"
 #include "sockets.h"
-#include "trafficfront.h"
+#include "trafficserver.h"
 
 #include <balsamloft/requestdigest.h>
 
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -5,7 +5,7 @@
 #include "decisionlog.h"
 #include "settings.h"
 #include "simplehttpserver.h"
-#include "trafficfront.h"
+#include "trafficserver.h"
 
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/post.hpp>
--- a/src/entry/trafficfront.cpp
+++ b/src/entry/trafficfront.cpp
@@ -1,4 +1,4 @@
-#include "trafficfront.h"
+#include "trafficserver.h"
 
 #include "callersession.h"
 #include "clock.h"
