--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -316,7 +316,7 @@
     ("trailers are no fields", "src/entry/httpmessage.cpp",
      "if (!m_gathered.headDone)\n", "",
      "httpmessage_test: trailers are no header fields"),
-    ("age of keys", "src/entry/trafficfront.cpp",
+    ("age of keys", "src/entry/trafficserver.cpp",
      "return m_state.keyAge(bootNow()) < m_settings.revocation - KeyMargin;", "return true;",
      "testsuite: an unknown key is refused, and so is a known one once the store was silent too long"),
     ("the echo of an answer", "src/entry/connectionpool.cpp",
