--- a/testsuite/crashing-requests/crashing_requests_test.cpp
+++ b/testsuite/crashing-requests/crashing_requests_test.cpp
@@ -1,6 +1,6 @@
 // Several `balsamloft-entry` processes before engines that a request ends.
 
-#include "../entry/entryworld.h"
+#include "../entry/entryharness.h"
 
 #include <catch2/catch.hpp>
 
--- a/testsuite/entry/entry_process_test.cpp
+++ b/testsuite/entry/entry_process_test.cpp
@@ -1,6 +1,6 @@
 // `balsamloft-entry` as a process: planned stops, settings, a log that nobody reads.
 
-#include "entryworld.h"
+#include "entryharness.h"
 
 #include <boost/filesystem.hpp>
 
--- a/testsuite/entry/entry_test.cpp
+++ b/testsuite/entry/entry_test.cpp
@@ -1,6 +1,6 @@
 // What callers of one instance of `balsamloft-entry` see.
 
-#include "entryworld.h"
+#include "entryharness.h"
 
 #include <catch2/catch.hpp>
 
