--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -54,7 +54,7 @@
     void engineSilent(const std::string &id);
 
     /// The traffic thread saw endpoints end under requests, or was mistaken in that.
-    void tellCrashes(const CrashNews &news);
+    void tellCrashes(const CrashUpdate &news);
 
     /// Asks the store for the permit to try a request; \a answered is always called.
     void askTrial(const TrialRequest &request, std::function<void(TrialAnswer)> answered);
@@ -166,7 +166,7 @@
     std::map<std::string, std::optional<std::pair<std::string, std::string>>> m_gaps;
     std::map<std::string, std::uint64_t, std::less<>> m_leftOut; ///< rows' versions, by key
     TrialPermits m_trials;
-    CrashNews m_crashesToTell; ///< until the store's clock is known
+    CrashUpdate m_crashesToTell; ///< until the store's clock is known
     /// What the store has not taken yet, by row; nothing: the row is dropped.
     std::map<std::string, std::optional<std::string>> m_crashWrites;
     bool m_writingCrashes = false;
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -65,7 +65,7 @@
 
 } // namespace
 
-void Control::tellCrashes(const CrashNews &news)
+void Control::tellCrashes(const CrashUpdate &news)
 {
     if (!m_storeOffset) {
         m_crashesToTell.added.insert(m_crashesToTell.added.end(), news.added.begin(),
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -61,7 +61,7 @@
             asio::post(m_controlContext,
                        [this, id = std::move(id)] { m_control.engineSilent(id); });
         });
-        m_front.onCrashes([this](CrashNews news) {
+        m_front.onCrashes([this](CrashUpdate news) {
             asio::post(m_controlContext,
                        [this, news = std::move(news)] { m_control.tellCrashes(news); });
         });
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -289,7 +289,7 @@
               });
 }
 
-void TrafficFront::tellCrashes(const CrashNews &news)
+void TrafficFront::tellCrashes(const CrashUpdate &news)
 {
     const auto log = [](std::string_view event, const CrashRecord &record) {
         logDecision("quarantine", event,
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -269,7 +269,7 @@
     }
 }
 
-void CrashWorld::tell(const CrashNews &news)
+void CrashWorld::tell(const CrashUpdate &news)
 {
     if (m_settings.storeAway)
         return;
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -171,7 +171,7 @@
     void ended(std::size_t instance, const EndFlight &end);
     void passed(std::size_t instance, FlightId flight);
     void ask(std::size_t instance, const AskEngine &ask);
-    void tell(const CrashNews &news);
+    void tell(const CrashUpdate &news);
     void learn();
     void askTrial(std::size_t instance, const AskTrial &ask);
     void endTrial(std::size_t instance, const EndTrial &end);
--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -25,7 +25,7 @@
 };
 
 /// Changes of what this instance has other instances know.
-struct CrashNews
+struct CrashUpdate
 {
     std::vector<CrashRecord> added;
     std::vector<CrashRecord> removed;
@@ -123,7 +123,7 @@
     void learn(const std::vector<CrashRecord> &all);
 
     /// What is to be told to other instances now.
-    CrashNews news(Time now);
+    CrashUpdate news(Time now);
 
     // Queries
 
@@ -180,7 +180,7 @@
     bool explainedByOther(const std::string &digest, const std::string &endpoint, Time now) const;
     void add(const std::string &digest, const std::string &endpoint, Crash crash);
     void forget(const std::string &digest, const std::string &endpoint);
-    void forgetExpired(Time now, CrashNews &news);
+    void forgetExpired(Time now, CrashUpdate &news);
     bool makeRoom();
     bool worthTelling(const Crashes &crashes, const Crash &crash, Time now) const;
 
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -128,7 +128,7 @@
 /// Have all instances know which requests were on endpoints that ended.
 struct TellCrashes
 {
-    CrashNews news;
+    CrashUpdate news;
 };
 
 /// Ask for the permit to try a request under suspicion; Relay::trialAnswered() follows.
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -204,9 +204,9 @@
            || (now - crash.at >= m_settings.tellAfter && m_shared < m_settings.mostShared);
 }
 
-CrashNews Quarantine::news(Time now)
+CrashUpdate Quarantine::news(Time now)
 {
-    CrashNews news;
+    CrashUpdate news;
     news.removed.swap(m_retracted);
     for (auto &[digest, crashes] : m_requests)
         for (auto &[endpoint, crash] : crashes)
@@ -220,7 +220,7 @@
 
 /// What others were told and no longer counts is taken back by whoever has to write
 /// anyway: while no endpoint ends, nothing is written.
-void Quarantine::forgetExpired(Time now, CrashNews &news)
+void Quarantine::forgetExpired(Time now, CrashUpdate &news)
 {
     std::vector<CrashRecord> expired;
     for (const auto &[digest, crashes] : m_requests)
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -197,7 +197,7 @@
     quarantine.cameThrough("good", Start);
     quarantine.learn({{"good", "e1", Start - seconds(1)}, {"good", "e2", Start + seconds(1)}});
     CHECK(quarantine.crashes("good", Start + seconds(2)) == 1);
-    const CrashNews news = quarantine.news(Start + seconds(2));
+    const CrashUpdate news = quarantine.news(Start + seconds(2));
     CHECK(news.removed == std::vector<CrashRecord> {{"good", "e1", Start - seconds(1)}});
 }
 
@@ -208,7 +208,7 @@
     for (const char *endpoint : {"e1", "e2", "e3"}) {
         Quarantine witness;
         endUnder(witness, endpoint, {"bad"});
-        const CrashNews news = witness.news(Start + seconds(1));
+        const CrashUpdate news = witness.news(Start + seconds(1));
         told.insert(told.end(), news.added.begin(), news.added.end());
     }
     Quarantine late;
@@ -233,7 +233,7 @@
     endUnder(quarantine, "e1", {"beside", "bad"});
     CHECK(quarantine.news(Start + milliseconds(100)).empty());
     quarantine.cameThrough("beside", Start);
-    const CrashNews news = quarantine.news(Start + seconds(1));
+    const CrashUpdate news = quarantine.news(Start + seconds(1));
     CHECK(news.added == std::vector<CrashRecord> {{"bad", "e1", Start}});
     CHECK(news.removed.empty());
     CHECK(quarantine.news(Start + seconds(2)).empty());
@@ -250,7 +250,7 @@
     CHECK_FALSE(held(quarantine, "bad", later));
     CHECK(quarantine.news(later).empty());
     endUnder(quarantine, "e4", {"other"}, later);
-    const CrashNews news = quarantine.news(later + seconds(1));
+    const CrashUpdate news = quarantine.news(later + seconds(1));
     CHECK(news.added.size() == 1);
     CHECK(news.removed.size() == 3);
 }
@@ -426,7 +426,7 @@
     void share()
     {
         for (Quarantine &each : m_instances) {
-            const CrashNews news = each.news(m_now);
+            const CrashUpdate news = each.news(m_now);
             m_told.insert(m_told.end(), news.added.begin(), news.added.end());
             for (const CrashRecord &gone : news.removed)
                 std::erase_if(m_told, [&](const CrashRecord &told) {
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -212,7 +212,7 @@
 
 void Relay::tellCrashes(Time now, RelayActions &actions)
 {
-    CrashNews news = m_quarantine.news(now);
+    CrashUpdate news = m_quarantine.news(now);
     if (news.empty())
         return;
     m_counts.crashes += news.added.size();
