--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -118,7 +118,7 @@
      "if (earlier.size() == Readers) {", "if (false) {",
      "propagation_test: no instance is asked by more others as the fleet grows"),
     ("what instances saw is told", "src/libbalsamloft/relaycrashes.cpp",
-     "actions.push_back(TellCrashes {std::move(news)});", "",
+     "actions.push_back(PublishCrashes {std::move(news)});", "",
      "crashingrequests_test: what instances know of a request outlasts all of them"),
     ("a restart has announced nothing", "src/libbalsamloft/enginefleet.cpp",
      "    if (endpoint.born > start.born)\n        start = {};\n", "",
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -347,7 +347,7 @@
                 session->note("told " + change->endpoint + " (" + change->reason + ") to go along "
                               + m_protocol.pathText(change->path));
             changePath(*change);
-        } else if (const auto *told = std::get_if<TellCrashes>(&action)) {
+        } else if (const auto *told = std::get_if<PublishCrashes>(&action)) {
             tellCrashes(told->news);
         } else if (const auto *trial = std::get_if<AskTrial>(&action)) {
             askTrial(*trial);
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -255,7 +255,7 @@
             ask(instance, *asked);
         else if (const auto *change = std::get_if<ChangePath>(&action))
             changePath(instance, *change);
-        else if (const auto *told = std::get_if<TellCrashes>(&action))
+        else if (const auto *told = std::get_if<PublishCrashes>(&action))
             tell(told->news);
         else if (const auto *trial = std::get_if<AskTrial>(&action))
             askTrial(instance, *trial);
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -126,7 +126,7 @@
 };
 
 /// Have all instances know which requests were on endpoints that ended.
-struct TellCrashes
+struct PublishCrashes
 {
     CrashUpdate news;
 };
@@ -146,7 +146,7 @@
 };
 
 using RelayAction = std::variant<SendWhole, AbandonAttempt, PassAnswer, EndFlight, AskEngine,
-                                 ChangePath, TellCrashes, AskTrial, EndTrial>;
+                                 ChangePath, PublishCrashes, AskTrial, EndTrial>;
 using RelayActions = std::vector<RelayAction>;
 
 /// Settings of a Relay.
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -216,7 +216,7 @@
     if (news.empty())
         return;
     m_counts.crashes += news.added.size();
-    actions.push_back(TellCrashes {std::move(news)});
+    actions.push_back(PublishCrashes {std::move(news)});
 }
 
 } // namespace balsamloft
