--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -304,7 +304,7 @@
         m_tellCrashes(news);
 }
 
-void TrafficFront::askTrial(const AskTrial &ask)
+void TrafficFront::askTrial(const RequestTrial &ask)
 {
     if (!m_askTrial)
         return;
@@ -349,7 +349,7 @@
             changePath(*change);
         } else if (const auto *told = std::get_if<PublishCrashes>(&action)) {
             tellCrashes(told->news);
-        } else if (const auto *trial = std::get_if<AskTrial>(&action)) {
+        } else if (const auto *trial = std::get_if<RequestTrial>(&action)) {
             askTrial(*trial);
         } else if (const auto *ended = std::get_if<EndTrial>(&action)) {
             if (m_endTrial)
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -257,7 +257,7 @@
             changePath(instance, *change);
         else if (const auto *told = std::get_if<PublishCrashes>(&action))
             tell(told->news);
-        else if (const auto *trial = std::get_if<AskTrial>(&action))
+        else if (const auto *trial = std::get_if<RequestTrial>(&action))
             askTrial(instance, *trial);
         else if (const auto *over = std::get_if<EndTrial>(&action))
             endTrial(instance, *over);
@@ -301,7 +301,7 @@
     return true;
 }
 
-void CrashWorld::askTrial(std::size_t instance, const AskTrial &ask)
+void CrashWorld::askTrial(std::size_t instance, const RequestTrial &ask)
 {
     const auto answer = [this, instance, ask](const TrialAnswer &given) {
         step(instance, [&](Relay &relay, RelayActions &actions) {
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -173,7 +173,7 @@
     void ask(std::size_t instance, const AskEngine &ask);
     void tell(const CrashUpdate &news);
     void learn();
-    void askTrial(std::size_t instance, const AskTrial &ask);
+    void askTrial(std::size_t instance, const RequestTrial &ask);
     void endTrial(std::size_t instance, const EndTrial &end);
     bool write(const TrialChange &change);
     std::size_t engineOf(const std::string &id) const;
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -188,9 +188,9 @@
     return actionsOf<SendWhole>(actions, flight);
 }
 
-std::vector<AskTrial> RelayWorld::trials(FlightId flight) const
+std::vector<RequestTrial> RelayWorld::trials(FlightId flight) const
 {
-    return actionsOf<AskTrial>(actions, flight);
+    return actionsOf<RequestTrial>(actions, flight);
 }
 
 void RelayWorld::answerTrial(FlightId flight, const TrialAnswer &answer)
--- a/src/fakes/relayharness.h
+++ b/src/fakes/relayharness.h
@@ -63,7 +63,7 @@
     /// Sends of a flight, first to last.
     std::vector<SendWhole> sends(FlightId flight) const;
     std::vector<ChangePath> pathChanges(FlightId flight) const;
-    std::vector<AskTrial> trials(FlightId flight) const;
+    std::vector<RequestTrial> trials(FlightId flight) const;
     std::optional<EndFlight> end(FlightId flight) const;
     bool passed(FlightId flight) const;
     std::size_t abandoned(FlightId flight) const;
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -132,7 +132,7 @@
 };
 
 /// Ask for the permit to try a request under suspicion; Relay::trialAnswered() follows.
-struct AskTrial
+struct RequestTrial
 {
     FlightId flight = 0;
     TrialRequest request;
@@ -146,7 +146,7 @@
 };
 
 using RelayAction = std::variant<SendWhole, AbandonAttempt, PassAnswer, EndFlight, AskEngine,
-                                 ChangePath, PublishCrashes, AskTrial, EndTrial>;
+                                 ChangePath, PublishCrashes, RequestTrial, EndTrial>;
 using RelayActions = std::vector<RelayAction>;
 
 /// Settings of a Relay.
@@ -252,7 +252,7 @@
     /// All that instances told each other about endpoints that ended under requests.
     void learnCrashes(const std::vector<CrashRecord> &all) { m_quarantine.learn(all); }
 
-    /// The answer to AskTrial with \a request.
+    /// The answer to RequestTrial with \a request.
     void trialAnswered(FlightId id, const TrialRequest &request, const TrialAnswer &answer,
                        Time now, RelayActions &actions);
 
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -136,7 +136,7 @@
     trial.first = send.path.empty() ? std::nullopt : std::make_optional(send.path.front());
     const std::string &digest = flight.request.digest;
     const bool limited = m_quarantine.crashes(digest, now) >= m_quarantine.settings().crashesToHold;
-    actions.push_back(AskTrial {id, {digest, send.endpoint, limited}});
+    actions.push_back(RequestTrial {id, {digest, send.endpoint, limited}});
     return true;
 }
 
