--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -69,7 +69,7 @@
             [this](TrialRequest request, std::function<void(TrialAnswer)> answered) {
                 askTrial(std::move(request), std::move(answered));
             },
-            [this](EndTrial ended) {
+            [this](FinishTrial ended) {
                 asio::post(m_controlContext,
                            [this, ended = std::move(ended)] { m_control.endTrial(ended); });
             });
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -351,7 +351,7 @@
             tellCrashes(told->news);
         } else if (const auto *trial = std::get_if<RequestTrial>(&action)) {
             askTrial(*trial);
-        } else if (const auto *ended = std::get_if<EndTrial>(&action)) {
+        } else if (const auto *ended = std::get_if<FinishTrial>(&action)) {
             if (m_endTrial)
                 m_endTrial(*ended);
         } else if (const auto *send = std::get_if<SendWhole>(&action)) {
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -55,7 +55,7 @@
     /// calls its second argument with the answer on this thread; \a end with each that
     /// is over.
     using TrialAsker = std::function<void(TrialRequest, std::function<void(TrialAnswer)>)>;
-    void onTrials(TrialAsker ask, std::function<void(EndTrial)> end)
+    void onTrials(TrialAsker ask, std::function<void(FinishTrial)> end)
     {
         m_askTrial = std::move(ask);
         m_endTrial = std::move(end);
@@ -137,7 +137,7 @@
     std::function<void(std::string)> m_engineSilent;
     std::function<void(CrashUpdate)> m_tellCrashes;
     TrialAsker m_askTrial;
-    std::function<void(EndTrial)> m_endTrial;
+    std::function<void(FinishTrial)> m_endTrial;
     Duration m_suspended {Duration::max()}; ///< what the steady clock lacks; at first unknown
 };
 
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -259,7 +259,7 @@
             tell(told->news);
         else if (const auto *trial = std::get_if<RequestTrial>(&action))
             askTrial(instance, *trial);
-        else if (const auto *over = std::get_if<EndTrial>(&action))
+        else if (const auto *over = std::get_if<FinishTrial>(&action))
             endTrial(instance, *over);
         else if (const auto *abandoned = std::get_if<AbandonAttempt>(&action))
             for (const auto &run : m_runs)
@@ -322,7 +322,7 @@
           });
 }
 
-void CrashWorld::endTrial(std::size_t instance, const EndTrial &end)
+void CrashWorld::endTrial(std::size_t instance, const FinishTrial &end)
 {
     const auto change = m_permits[instance].release(end.digest, end.end);
     if (!change)
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -174,7 +174,7 @@
     void tell(const CrashUpdate &news);
     void learn();
     void askTrial(std::size_t instance, const RequestTrial &ask);
-    void endTrial(std::size_t instance, const EndTrial &end);
+    void endTrial(std::size_t instance, const FinishTrial &end);
     bool write(const TrialChange &change);
     std::size_t engineOf(const std::string &id) const;
     Duration between(std::int64_t least, std::int64_t most);
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -139,14 +139,14 @@
 };
 
 /// The try that was permitted is over.
-struct EndTrial
+struct FinishTrial
 {
     std::string digest;
     TrialEnd end = TrialEnd::Open;
 };
 
 using RelayAction = std::variant<SendWhole, AbandonAttempt, PassAnswer, EndFlight, AskEngine,
-                                 ChangePath, PublishCrashes, RequestTrial, EndTrial>;
+                                 ChangePath, PublishCrashes, RequestTrial, FinishTrial>;
 using RelayActions = std::vector<RelayAction>;
 
 /// Settings of a Relay.
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -146,7 +146,7 @@
     const auto it = m_flights.find(id);
     if (it == m_flights.end() || it->second.trial.state != Trial::State::Asked) {
         if (answer.granted)
-            actions.push_back(EndTrial {request.digest, TrialEnd::NotSent});
+            actions.push_back(FinishTrial {request.digest, TrialEnd::NotSent});
         return;
     }
     Flight &flight = it->second;
@@ -174,7 +174,7 @@
     if (flight.trial.state < Trial::State::Granted)
         return;
     flight.trial.state = Trial::State::None;
-    actions.push_back(EndTrial {flight.request.digest, end});
+    actions.push_back(FinishTrial {flight.request.digest, end});
 }
 
 /// Those refused together are told different times, so that they do not all return at the
