--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -213,7 +213,7 @@
     run(std::move(actions));
 }
 
-void TrafficFront::askEngine(const AskEngine &ask)
+void TrafficFront::askEngine(const QueryEngine &ask)
 {
     if (m_questions.contains(ask.endpoint))
         return;
@@ -340,7 +340,7 @@
         return it == m_flights.end() ? nullptr : it->second;
     };
     for (const RelayAction &action : actions) {
-        if (const auto *ask = std::get_if<AskEngine>(&action)) {
+        if (const auto *ask = std::get_if<QueryEngine>(&action)) {
             askEngine(*ask);
         } else if (const auto *change = std::get_if<ChangePath>(&action)) {
             if (const auto session = sessionOf(change->flight))
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -251,7 +251,7 @@
             passed(instance, passing->flight);
         else if (const auto *end = std::get_if<EndFlight>(&action))
             ended(instance, *end);
-        else if (const auto *asked = std::get_if<AskEngine>(&action))
+        else if (const auto *asked = std::get_if<QueryEngine>(&action))
             ask(instance, *asked);
         else if (const auto *change = std::get_if<ChangePath>(&action))
             changePath(instance, *change);
@@ -593,7 +593,7 @@
         (end.end == FlightEnd::NotRun ? m_harmless.refused : m_harmless.broken) += 1;
 }
 
-void CrashWorld::ask(std::size_t instance, const AskEngine &ask)
+void CrashWorld::ask(std::size_t instance, const QueryEngine &ask)
 {
     after(Network * 2, [this, instance, asked = m_now, endpoint = ask.endpoint] {
         const std::size_t engine = engineOf(endpoint);
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -170,7 +170,7 @@
     void fail(const std::shared_ptr<Run> &run, AttemptFailure failure);
     void ended(std::size_t instance, const EndFlight &end);
     void passed(std::size_t instance, FlightId flight);
-    void ask(std::size_t instance, const AskEngine &ask);
+    void ask(std::size_t instance, const QueryEngine &ask);
     void tell(const CrashUpdate &news);
     void learn();
     void askTrial(std::size_t instance, const RequestTrial &ask);
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -270,7 +270,7 @@
                 at(Hop, [this, instance, send = *send] { arrive(instance, send); });
             else if (const auto *abandon = std::get_if<AbandonAttempt>(&action))
                 drop(instance, abandon->flight, abandon->attempt);
-            else if (const auto *ask = std::get_if<AskEngine>(&action))
+            else if (const auto *ask = std::get_if<QueryEngine>(&action))
                 askEngine(instance, ask->endpoint);
             else if (const auto *change = std::get_if<ChangePath>(&action))
                 at(Hop, [this, instance, change = *change] { changePath(instance, change); });
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -223,7 +223,7 @@
 {
     std::vector<std::string> found;
     for (const RelayAction &action : actions)
-        if (const auto *ask = std::get_if<AskEngine>(&action))
+        if (const auto *ask = std::get_if<QueryEngine>(&action))
             found.push_back(ask->endpoint);
     return found;
 }
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -105,7 +105,7 @@
 };
 
 /// Ask an engine which requests stall, at which engine, and how fast it is.
-struct AskEngine
+struct QueryEngine
 {
     std::string endpoint;
     std::string address;
@@ -145,7 +145,7 @@
     TrialEnd end = TrialEnd::Open;
 };
 
-using RelayAction = std::variant<SendWhole, AbandonAttempt, PassAnswer, EndFlight, AskEngine,
+using RelayAction = std::variant<SendWhole, AbandonAttempt, PassAnswer, EndFlight, QueryEngine,
                                  ChangePath, PublishCrashes, RequestTrial, FinishTrial>;
 using RelayActions = std::vector<RelayAction>;
 
@@ -234,12 +234,12 @@
     void pathChanged(FlightId id, std::uint32_t attempt, PathReply reply,
                      std::string_view atAddress, Time now, RelayActions &actions);
 
-    /// An engine answered AskEngine: \a stalledAt are addresses of engines that
+    /// An engine answered QueryEngine: \a stalledAt are addresses of engines that
     /// do not answer it.
     void reported(const std::string &endpoint, const std::vector<std::string> &stalledAt,
                   double pace, Time now, RelayActions &actions);
 
-    /// An engine did not answer AskEngine; \a refused: nobody listens at its address.
+    /// An engine did not answer QueryEngine; \a refused: nobody listens at its address.
     void reportFailed(const std::string &endpoint, Time now, RelayActions &actions,
                       bool refused = false);
 
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -26,7 +26,7 @@
         return;
     it->second = now;
     if (const FleetEndpoint *found = m_fleet->find(endpoint))
-        actions.push_back(AskEngine {endpoint, found->address});
+        actions.push_back(QueryEngine {endpoint, found->address});
 }
 
 void Relay::reported(const std::string &endpoint, const std::vector<std::string> &stalledAt,
