--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -363,7 +363,7 @@
         } else if (const auto *pass = std::get_if<PassAnswer>(&action)) {
             if (const auto session = sessionOf(pass->flight))
                 session->passAnswer();
-        } else if (const auto *end = std::get_if<EndFlight>(&action)) {
+        } else if (const auto *end = std::get_if<FinishFlight>(&action)) {
             if (const auto session = sessionOf(end->flight))
                 session->endFlight(*end);
         }
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -249,7 +249,7 @@
             send(instance, *sent);
         else if (const auto *passing = std::get_if<PassAnswer>(&action))
             passed(instance, passing->flight);
-        else if (const auto *end = std::get_if<EndFlight>(&action))
+        else if (const auto *end = std::get_if<FinishFlight>(&action))
             ended(instance, *end);
         else if (const auto *asked = std::get_if<QueryEngine>(&action))
             ask(instance, *asked);
@@ -576,7 +576,7 @@
     m_callers[instance].erase(caller);
 }
 
-void CrashWorld::ended(std::size_t instance, const EndFlight &end)
+void CrashWorld::ended(std::size_t instance, const FinishFlight &end)
 {
     const auto it = m_callers[instance].find(end.flight);
     Caller caller = it->second;
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -168,7 +168,7 @@
     void nextEvent(const std::shared_ptr<Run> &run);
     void endEngine(std::size_t engine);
     void fail(const std::shared_ptr<Run> &run, AttemptFailure failure);
-    void ended(std::size_t instance, const EndFlight &end);
+    void ended(std::size_t instance, const FinishFlight &end);
     void passed(std::size_t instance, FlightId flight);
     void ask(std::size_t instance, const QueryEngine &ask);
     void tell(const CrashUpdate &news);
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -274,12 +274,12 @@
                 askEngine(instance, ask->endpoint);
             else if (const auto *change = std::get_if<ChangePath>(&action))
                 at(Hop, [this, instance, change = *change] { changePath(instance, change); });
-            else if (const auto *end = std::get_if<EndFlight>(&action))
+            else if (const auto *end = std::get_if<FinishFlight>(&action))
                 ended(instance, *end);
         }
     }
 
-    void ended(std::size_t instance, const EndFlight &end)
+    void ended(std::size_t instance, const FinishFlight &end)
     {
         Caller &caller = m_callers[instance][end.flight];
         caller.over = true;
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -203,9 +203,9 @@
     return actionsOf<ChangePath>(actions, flight);
 }
 
-std::optional<EndFlight> RelayWorld::end(FlightId flight) const
+std::optional<FinishFlight> RelayWorld::end(FlightId flight) const
 {
-    const auto ends = actionsOf<EndFlight>(actions, flight);
+    const auto ends = actionsOf<FinishFlight>(actions, flight);
     return ends.empty() ? std::nullopt : std::make_optional(ends.front());
 }
 
--- a/src/fakes/relayharness.h
+++ b/src/fakes/relayharness.h
@@ -64,7 +64,7 @@
     std::vector<SendWhole> sends(FlightId flight) const;
     std::vector<ChangePath> pathChanges(FlightId flight) const;
     std::vector<RequestTrial> trials(FlightId flight) const;
-    std::optional<EndFlight> end(FlightId flight) const;
+    std::optional<FinishFlight> end(FlightId flight) const;
     bool passed(FlightId flight) const;
     std::size_t abandoned(FlightId flight) const;
     std::vector<std::string> asked() const;
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -96,7 +96,7 @@
 };
 
 /// Refuse the request, or break its answer off. The flight has ended.
-struct EndFlight
+struct FinishFlight
 {
     FlightId flight = 0;
     FlightEnd end = FlightEnd::NotRun;
@@ -145,7 +145,7 @@
     TrialEnd end = TrialEnd::Open;
 };
 
-using RelayAction = std::variant<SendWhole, AbandonAttempt, PassAnswer, EndFlight, QueryEngine,
+using RelayAction = std::variant<SendWhole, AbandonAttempt, PassAnswer, FinishFlight, QueryEngine,
                                  ChangePath, PublishCrashes, RequestTrial, FinishTrial>;
 using RelayActions = std::vector<RelayAction>;
 
--- a/src/libbalsamloft/ratelimits_test.cpp
+++ b/src/libbalsamloft/ratelimits_test.cpp
@@ -227,7 +227,7 @@
                 m_arrivals.push_back({m_now, told && m_now - *told >= ToldBefore});
             m_calls.push_back(
                 {instance, send->flight, send->attempt, send->endpoint, m_now + milliseconds(100)});
-        } else if (std::holds_alternative<EndFlight>(action)) {
+        } else if (std::holds_alternative<FinishFlight>(action)) {
             refused += 1;
         }
     }
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -427,7 +427,7 @@
                                                     &RelayCounts::timedOut, &RelayCounts::cutShort};
     m_counts.*counters[static_cast<std::size_t>(how)] += 1;
     m_flights.erase(it);
-    actions.push_back(EndFlight {id, how, wait, std::move(reason)});
+    actions.push_back(FinishFlight {id, how, wait, std::move(reason)});
 }
 
 void Relay::attemptFailed(FlightId id, std::uint32_t attempt, AttemptFailure failure, Time now,
