--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -69,13 +69,13 @@
     const auto self = shared_from_this();
     abandonAttempt();
     switch (end.end) {
-    case FlightEnd::NotRun:
+    case FlightOutcome::NotRun:
         return refuse(503, end.reason, end.retryAfter);
-    case FlightEnd::Failed:
+    case FlightOutcome::Failed:
         return refuse(502, end.reason);
-    case FlightEnd::TimedOut:
+    case FlightOutcome::TimedOut:
         return refuse(504, end.reason);
-    case FlightEnd::CutShort:
+    case FlightOutcome::CutShort:
         // Closed without the last chunk, so that it does not look complete.
         logEnd("cut short", 200, end.reason);
         m_front.detach(*m_flight);
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -583,14 +583,14 @@
     m_callers[instance].erase(it);
     if (!caller.crashing && end.reason.starts_with("held back"))
         m_harmless.heldBack += 1;
-    if (end.end != FlightEnd::CutShort && caller.retries > 0) {
+    if (end.end != FlightOutcome::CutShort && caller.retries > 0) {
         caller.retries -= 1;
         after(std::max(end.retryAfter, Duration(20'000)),
               [this, caller] { submit(pick(m_settings.instances), caller); });
         return;
     }
     if (!caller.crashing)
-        (end.end == FlightEnd::NotRun ? m_harmless.refused : m_harmless.broken) += 1;
+        (end.end == FlightOutcome::NotRun ? m_harmless.refused : m_harmless.broken) += 1;
 }
 
 void CrashWorld::ask(std::size_t instance, const QueryEngine &ask)
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -283,7 +283,7 @@
     {
         Caller &caller = m_callers[instance][end.flight];
         caller.over = true;
-        (end.end == FlightEnd::NotRun ? m_refused : m_cut) += 1;
+        (end.end == FlightOutcome::NotRun ? m_refused : m_cut) += 1;
     }
 
     void askEngine(std::size_t instance, const std::string &id)
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -88,7 +88,7 @@
 };
 
 /// How a flight ends without an endpoint's answer.
-enum class FlightEnd : std::uint8_t {
+enum class FlightOutcome : std::uint8_t {
     NotRun, ///< a promise: nothing ran, nothing will
     Failed, ///< it may have run
     TimedOut, ///< it may have run; its time is over
@@ -99,7 +99,7 @@
 struct FinishFlight
 {
     FlightId flight = 0;
-    FlightEnd end = FlightEnd::NotRun;
+    FlightOutcome end = FlightOutcome::NotRun;
     Duration retryAfter {}; ///< when to come back; only for NotRun
     std::string reason;
 };
@@ -381,8 +381,8 @@
     bool worthMoving(const Flight &flight, Time now);
 
     /// How a flight that is given up now ends; \a ran: where it may have run.
-    static FlightEnd endOf(const Flight &flight, FlightEnd ran);
-    void end(FlightId id, FlightEnd how, std::string reason, RelayActions &actions,
+    static FlightOutcome endOf(const Flight &flight, FlightOutcome ran);
+    void end(FlightId id, FlightOutcome how, std::string reason, RelayActions &actions,
              std::optional<Duration> comeBack = {});
     void noteLimit(const Flight &flight, const AnswerHead &head, Time now);
     void rejected(FlightId id, Flight &flight, const AnswerHead &head, Time now,
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -335,7 +335,7 @@
     const FlightId flight = submitBad(world, GENERATE(RequestKind::Stream, RequestKind::Unsafe));
     CHECK(world.sends(flight).empty());
     REQUIRE(world.end(flight));
-    CHECK(world.end(flight)->end == FlightEnd::NotRun);
+    CHECK(world.end(flight)->end == FlightOutcome::NotRun);
     CHECK(world.end(flight)->retryAfter > seconds(60));
 }
 
@@ -348,7 +348,7 @@
     learnEnds(world, 3);
     CHECK(world.abandoned(flight) == 1);
     REQUIRE(world.end(flight));
-    CHECK(world.end(flight)->end == FlightEnd::Failed);
+    CHECK(world.end(flight)->end == FlightOutcome::Failed);
 }
 
 // Guards against callers who lose a stream that runs, since it stood beside others' ends.
@@ -380,9 +380,9 @@
     CHECK(world.sends(first).size() == 1);
     CHECK(world.sends(second).empty());
     REQUIRE(world.end(second));
-    CHECK(world.end(second)->end == FlightEnd::NotRun);
+    CHECK(world.end(second)->end == FlightOutcome::NotRun);
     world.answer(first, 503, false, true);
     CHECK(world.sends(first).size() == 1);
     REQUIRE(world.end(first));
-    CHECK(world.end(first)->end == FlightEnd::NotRun);
+    CHECK(world.end(first)->end == FlightOutcome::NotRun);
 }
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -311,7 +311,7 @@
 void Relay::dispatch(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (now >= flight.deadline)
-        return end(id, endOf(flight, FlightEnd::TimedOut), "no time left", actions);
+        return end(id, endOf(flight, FlightOutcome::TimedOut), "no time left", actions);
     if (holdBack(id, flight, now, actions))
         return;
     // Asked at each tick while it waits: no path is looked for that cannot be paid.
@@ -351,11 +351,11 @@
     return ran < flight.request.route->maxAttempts;
 }
 
-FlightEnd Relay::endOf(const Flight &flight, FlightEnd ran)
+FlightOutcome Relay::endOf(const Flight &flight, FlightOutcome ran)
 {
     if (flight.passing)
-        return FlightEnd::CutShort;
-    return flight.ranAt.empty() ? FlightEnd::NotRun : ran;
+        return FlightOutcome::CutShort;
+    return flight.ranAt.empty() ? FlightOutcome::NotRun : ran;
 }
 
 /// A stream that has begun is bounded by the repeats and its caller's patience alone:
@@ -387,7 +387,7 @@
     release(flight);
     flight.waitingSince = now;
     flight.lastReason = reason;
-    const FlightEnd how = endOf(flight, FlightEnd::Failed);
+    const FlightOutcome how = endOf(flight, FlightOutcome::Failed);
     if (!flight.ranAt.empty() && !mayRunAgain(flight))
         return end(id, how, std::move(reason), actions);
     if (sentOftenEnough(flight))
@@ -409,7 +409,7 @@
     dispatch(id, flight, now, actions);
 }
 
-void Relay::end(FlightId id, FlightEnd how, std::string reason, RelayActions &actions,
+void Relay::end(FlightId id, FlightOutcome how, std::string reason, RelayActions &actions,
                 std::optional<Duration> comeBack)
 {
     const auto it = m_flights.find(id);
@@ -417,7 +417,7 @@
         return;
     release(it->second);
     Duration wait {};
-    if (how == FlightEnd::NotRun) {
+    if (how == FlightOutcome::NotRun) {
         // Spread, so that those refused together do not come back together.
         std::uniform_real_distribution<double> spread(0.6, 1.4);
         wait = comeBack.value_or(
@@ -470,7 +470,7 @@
     std::string reason = "refused by " + culprit + " with " + std::to_string(head.status);
     if (flight.trial.state == Trial::State::Sent) {
         endTrial(flight, TrialEnd::Open, actions);
-        return end(id, endOf(flight, FlightEnd::Failed), std::move(reason), actions);
+        return end(id, endOf(flight, FlightOutcome::Failed), std::move(reason), actions);
     }
     again(id, flight, false, culprit, std::move(reason), now, actions);
 }
@@ -522,7 +522,7 @@
     // The caller has the head and events of an earlier attempt: a failure after
     // them can only be shown by breaking off.
     if (flight->passing) {
-        end(id, FlightEnd::CutShort, "failure of " + flight->endpoint, actions);
+        end(id, FlightOutcome::CutShort, "failure of " + flight->endpoint, actions);
         return false;
     }
     passAnswer(id, *flight, !failed, now, actions);
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -47,7 +47,7 @@
     world.fail(call, failure);
     REQUIRE(world.sends(call).size() == 1);
     REQUIRE(world.end(call));
-    CHECK(world.end(call)->end == FlightEnd::Failed);
+    CHECK(world.end(call)->end == FlightOutcome::Failed);
     CHECK(world.end(call)->retryAfter == Duration {});
 }
 
@@ -63,7 +63,7 @@
     world.answer(call, 503, false, true);
     world.pass(milliseconds(500));
     REQUIRE(world.end(call));
-    CHECK(world.end(call)->end == FlightEnd::NotRun);
+    CHECK(world.end(call)->end == FlightOutcome::NotRun);
     CHECK(world.end(call)->retryAfter > Duration {});
 }
 
@@ -102,7 +102,7 @@
     world.answer(stream, 500);
     CHECK_FALSE(world.passed(stream));
     REQUIRE(world.end(stream));
-    CHECK(world.end(stream)->end == FlightEnd::CutShort);
+    CHECK(world.end(stream)->end == FlightOutcome::CutShort);
 }
 
 // Late events of an attempt that was given up come after the stream went on
@@ -163,7 +163,7 @@
     REQUIRE(world.sends(fresh).size() == 2);
     world.answer(fresh, 503, false, true);
     REQUIRE(world.end(fresh));
-    CHECK(world.end(fresh)->end == FlightEnd::NotRun);
+    CHECK(world.end(fresh)->end == FlightOutcome::NotRun);
     CHECK(world.end(fresh)->retryAfter > Duration {});
     world.fail(stream, AttemptFailure::Broken);
     world.pass(milliseconds(400)); // both engines had just no room
@@ -310,7 +310,7 @@
     const FlightId route = world.submit(RequestKind::Unsafe, milliseconds(60'000));
     world.pass(milliseconds(850));
     REQUIRE(world.end(caller));
-    CHECK(world.end(caller)->end == FlightEnd::TimedOut);
+    CHECK(world.end(caller)->end == FlightOutcome::TimedOut);
     CHECK_FALSE(world.end(route));
     world.pass(milliseconds(9250));
     CHECK(world.end(route));
@@ -322,7 +322,7 @@
     const FlightId stream = world.submit(RequestKind::Stream);
     world.pass(milliseconds(1000));
     REQUIRE(world.end(stream));
-    CHECK(world.end(stream)->end == FlightEnd::NotRun);
+    CHECK(world.end(stream)->end == FlightOutcome::NotRun);
     CHECK(world.end(stream)->retryAfter > Duration {});
 }
 
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -106,7 +106,7 @@
             flight.ranAt.push_back(flight.endpoint);
             actions.push_back(AbandonAttempt {id, flight.attempt});
         }
-        return end(id, endOf(flight, FlightEnd::TimedOut), "its time is over", actions);
+        return end(id, endOf(flight, FlightOutcome::TimedOut), "its time is over", actions);
     }
     if (recall(id, flight, now, actions))
         return;
@@ -135,7 +135,7 @@
                                               : waited >= hold;
     if (!over)
         return;
-    const FlightEnd how = endOf(flight, FlightEnd::Failed);
+    const FlightOutcome how = endOf(flight, FlightOutcome::Failed);
     std::string reason = flight.lastReason;
     end(id, how, std::move(reason), actions);
 }
