--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -9,7 +9,7 @@
 
 namespace balsamloft {
 
-std::string CallerSession::requestText(const SendWhole &send) const
+std::string CallerSession::requestText(const SendRequest &send) const
 {
     const HeaderNames &names = m_front.protocol().headers();
     std::string text = m_kept;
@@ -28,7 +28,7 @@
     return text;
 }
 
-void CallerSession::sendAttempt(const SendWhole &send)
+void CallerSession::sendAttempt(const SendRequest &send)
 {
     abandonAttempt();
     m_attempt = send.attempt;
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -24,7 +24,7 @@
 
     // Actions of the relay
 
-    void sendAttempt(const SendWhole &send);
+    void sendAttempt(const SendRequest &send);
     void abandonAttempt();
 
     /// Adds a decision to the request's trail.
@@ -54,7 +54,7 @@
     bool admit(const Route &route, const RouteMap &table);
     void submit(const RouteMapPtr &table, const Route &route);
     void keepHeaders();
-    std::string requestText(const SendWhole &send) const;
+    std::string requestText(const SendRequest &send) const;
     void refuse(int status, std::string_view reason, std::optional<Duration> retryAfter = {});
     void refuseMalformed();
     void beginStream();
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -354,7 +354,7 @@
         } else if (const auto *ended = std::get_if<FinishTrial>(&action)) {
             if (m_endTrial)
                 m_endTrial(*ended);
-        } else if (const auto *send = std::get_if<SendWhole>(&action)) {
+        } else if (const auto *send = std::get_if<SendRequest>(&action)) {
             if (const auto session = sessionOf(send->flight))
                 session->sendAttempt(*send);
         } else if (const auto *abandon = std::get_if<AbandonAttempt>(&action)) {
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -245,7 +245,7 @@
 void CrashWorld::act(std::size_t instance, RelayActions actions)
 {
     for (const RelayAction &action : actions) {
-        if (const auto *sent = std::get_if<SendWhole>(&action))
+        if (const auto *sent = std::get_if<SendRequest>(&action))
             send(instance, *sent);
         else if (const auto *passing = std::get_if<PassAnswer>(&action))
             passed(instance, passing->flight);
@@ -338,7 +338,7 @@
     return std::stoul(id.substr(id.find('-') + 1));
 }
 
-void CrashWorld::send(std::size_t instance, const SendWhole &send)
+void CrashWorld::send(std::size_t instance, const SendRequest &send)
 {
     const auto caller = m_callers[instance].find(send.flight);
     if (caller == m_callers[instance].end())
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -154,7 +154,7 @@
     std::string crashingDigest() const;
     void submit(std::size_t instance, Caller caller);
     void act(std::size_t instance, RelayActions actions);
-    void send(std::size_t instance, const SendWhole &send);
+    void send(std::size_t instance, const SendRequest &send);
     void begin(const std::shared_ptr<Run> &run);
     void endUnder(const std::shared_ptr<Run> &run);
     void hang(std::size_t engine);
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -266,7 +266,7 @@
     void carryOut(std::size_t instance, const RelayActions &actions)
     {
         for (const RelayAction &action : actions) {
-            if (const auto *send = std::get_if<SendWhole>(&action))
+            if (const auto *send = std::get_if<SendRequest>(&action))
                 at(Hop, [this, instance, send = *send] { arrive(instance, send); });
             else if (const auto *abandon = std::get_if<AbandonAttempt>(&action))
                 drop(instance, abandon->flight, abandon->attempt);
@@ -390,7 +390,7 @@
         }
     }
 
-    void arrive(std::size_t instance, const SendWhole &send)
+    void arrive(std::size_t instance, const SendRequest &send)
     {
         Run run;
         run.instance = instance;
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -183,9 +183,9 @@
 
 } // namespace
 
-std::vector<SendWhole> RelayWorld::sends(FlightId flight) const
+std::vector<SendRequest> RelayWorld::sends(FlightId flight) const
 {
-    return actionsOf<SendWhole>(actions, flight);
+    return actionsOf<SendRequest>(actions, flight);
 }
 
 std::vector<RequestTrial> RelayWorld::trials(FlightId flight) const
--- a/src/fakes/relayharness.h
+++ b/src/fakes/relayharness.h
@@ -61,7 +61,7 @@
     // What the relay did
 
     /// Sends of a flight, first to last.
-    std::vector<SendWhole> sends(FlightId flight) const;
+    std::vector<SendRequest> sends(FlightId flight) const;
     std::vector<ChangePath> pathChanges(FlightId flight) const;
     std::vector<RequestTrial> trials(FlightId flight) const;
     std::optional<FinishFlight> end(FlightId flight) const;
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -53,7 +53,7 @@
 // Actions
 
 /// Send the request, or the rest of its stream, to an endpoint.
-struct SendWhole
+struct SendRequest
 {
     FlightId flight = 0;
     std::uint32_t attempt = 0;
@@ -145,7 +145,7 @@
     TrialEnd end = TrialEnd::Open;
 };
 
-using RelayAction = std::variant<SendWhole, AbandonAttempt, PassAnswer, FinishFlight, QueryEngine,
+using RelayAction = std::variant<SendRequest, AbandonAttempt, PassAnswer, FinishFlight, QueryEngine,
                                  ChangePath, PublishCrashes, RequestTrial, FinishTrial>;
 using RelayActions = std::vector<RelayAction>;
 
@@ -343,16 +343,16 @@
                                        Time now);
     static std::set<std::string> notToUse(const Flight &flight);
     std::set<std::string> beyondLimit(const Flight &flight, Time now);
-    bool choosePath(Flight &flight, Time now, SendWhole &send);
+    bool choosePath(Flight &flight, Time now, SendRequest &send);
     void expect(Flight &flight, const EnginePath &path);
     void occupy(const Flight &flight);
     void vacate(const Flight &flight);
     void crossDomains(const Flight &flight, Time now);
     bool changePath(FlightId id, Flight &flight, Time now, RelayActions &actions);
-    bool chooseEndpoint(Flight &flight, Time now, SendWhole &send);
+    bool chooseEndpoint(Flight &flight, Time now, SendRequest &send);
     double endpointCost(const FleetEndpoint &endpoint, const std::set<std::string> &avoid,
                         Time now);
-    void sent(Flight &flight, const SendWhole &send, Time now);
+    void sent(Flight &flight, const SendRequest &send, Time now);
     void release(Flight &flight);
     void again(FlightId id, Flight &flight, bool ran, const std::string &culprit,
                std::string reason, Time now, RelayActions &actions);
@@ -367,7 +367,7 @@
     void noteProgress(Flight &flight, Time now, RelayActions &actions);
     bool underSuspicion(const Flight &flight, Time now) const;
     bool awaitTrial(FlightId id, Flight &flight, Time now, RelayActions &actions);
-    bool choose(Flight &flight, Time now, SendWhole &send);
+    bool choose(Flight &flight, Time now, SendRequest &send);
     void endTrial(Flight &flight, TrialEnd end, RelayActions &actions);
     bool mayRun(const Flight &flight, Time now) const;
     bool holdBack(FlightId id, Flight &flight, Time now, RelayActions &actions);
--- a/src/libbalsamloft/ratelimits_test.cpp
+++ b/src/libbalsamloft/ratelimits_test.cpp
@@ -219,7 +219,7 @@
 {
     RelayActions actions = std::exchange(m_worlds[instance]->actions, {});
     for (const RelayAction &action : actions) {
-        if (const auto *send = std::get_if<SendWhole>(&action)) {
+        if (const auto *send = std::get_if<SendRequest>(&action)) {
             if (m_diedAt[instance])
                 continue;
             const auto &told = m_toldAt[instance];
@@ -429,7 +429,7 @@
     for (int request = 0; request < 40; ++request) {
         const FlightId flight = world.submit(RequestKind::Stream);
         world.pass(milliseconds(20));
-        const SendWhole send = world.sends(flight).front();
+        const SendRequest send = world.sends(flight).front();
         AnswerHead head;
         head.status = 200;
         head.sealed = true;
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -162,7 +162,7 @@
     return path;
 }
 
-bool Relay::choosePath(Flight &flight, Time now, SendWhole &send)
+bool Relay::choosePath(Flight &flight, Time now, SendRequest &send)
 {
     auto path = findPath(flight, notToUse(flight), now);
     if (!path) {
@@ -214,13 +214,13 @@
     return all;
 }
 
-bool Relay::choose(Flight &flight, Time now, SendWhole &send)
+bool Relay::choose(Flight &flight, Time now, SendRequest &send)
 {
     return service(flight).model ? choosePath(flight, now, send)
                                  : chooseEndpoint(flight, now, send);
 }
 
-bool Relay::chooseEndpoint(Flight &flight, Time now, SendWhole &send)
+bool Relay::chooseEndpoint(Flight &flight, Time now, SendRequest &send)
 {
     const FleetEndpoint *best = nullptr;
     double bestCost = 0;
@@ -250,7 +250,7 @@
     return true;
 }
 
-void Relay::sent(Flight &flight, const SendWhole &send, Time now)
+void Relay::sent(Flight &flight, const SendRequest &send, Time now)
 {
     m_limits.sent(send.endpoint, now);
     flight.state = State::Sent;
@@ -317,7 +317,7 @@
     // Asked at each tick while it waits: no path is looked for that cannot be paid.
     if (flight.repeatOwed && !budget(flight).affords(now))
         return;
-    SendWhole send;
+    SendRequest send;
     if (!choose(flight, now, send))
         return endTrial(flight, TrialEnd::NotSent, actions);
     if (flight.repeatOwed && !payRepeat(flight, now))
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -26,7 +26,7 @@
     return settings;
 }
 
-bool goesThrough(const SendWhole &send, const std::string &id)
+bool goesThrough(const SendRequest &send, const std::string &id)
 {
     for (const PathPart &part : send.path)
         if (part.endpoint == id)
@@ -470,7 +470,7 @@
 {
     RelayWorld world(twoPaths());
     const FlightId call = world.submit(RequestKind::Safe, milliseconds(1000));
-    const SendWhole send = world.sends(call).back();
+    const SendRequest send = world.sends(call).back();
     CHECK(world.relay.maySend(call, send.attempt, world.now));
     CHECK_FALSE(world.relay.maySend(call, send.attempt + 1, world.now));
     CHECK_FALSE(world.relay.maySend(call, send.attempt, world.now + milliseconds(1000)));
@@ -484,7 +484,7 @@
 {
     RelayWorld world(twoPaths());
     const FlightId stream = world.submit(RequestKind::Stream);
-    const SendWhole send = world.sends(stream).back();
+    const SendRequest send = world.sends(stream).back();
     REQUIRE(world.relay.maySend(stream, send.attempt, world.now));
     world.drain(send.path.back().endpoint);
     CHECK_FALSE(world.relay.maySend(stream, send.attempt, world.now));
@@ -503,10 +503,10 @@
     world.fail(stream, AttemptFailure::Broken);
     for (int i = 0; i < 20; ++i) {
         const FlightId other = world.submit(RequestKind::Stream);
-        for (const SendWhole &send : world.sends(other))
+        for (const SendRequest &send : world.sends(other))
             CHECK_FALSE(goesThrough(send, leaving));
     }
-    for (const SendWhole &send : world.sends(stream))
+    for (const SendRequest &send : world.sends(stream))
         CHECK_FALSE(goesThrough(send, leaving));
 }
 
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -126,7 +126,7 @@
         return true;
     if (!trial.taken.empty() && now - trial.askedAt < m_settings.askTrialAgain)
         return true;
-    SendWhole send;
+    SendRequest send;
     trial.state = Trial::State::None;
     if (!choose(flight, now, send))
         return true;
