--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -102,7 +102,7 @@
     AnswerHead answer;
     answer.status = head.status;
     answer.notExecuted = head.find(names.notExecuted).has_value();
-    answer.sealed = head.find(names.seal).has_value();
+    answer.provenExecuted = head.find(names.seal).has_value();
     answer.atAddress = head.find(names.atAddress).value_or("");
     answer.running = numberFrom<std::uint32_t>(head.find(names.load).value_or(""));
     answer.rateLimit = numberFrom<double>(head.find(names.rateLimit).value_or(""));
@@ -113,7 +113,7 @@
 {
     const AnswerHead head = decisionHead(answer.head());
     const bool stream = m_route->kind == RequestKind::Stream;
-    if (!stream || head.status != 200 || !head.sealed || head.notExecuted)
+    if (!stream || head.status != 200 || !head.provenExecuted || head.notExecuted)
         return false;
     RelayActions actions;
     const bool pass = m_front.relay().answered(*m_flight, m_attempt, head, steadyNow(), actions);
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -420,7 +420,7 @@
         return;
     AnswerHead head;
     head.status = 200;
-    head.sealed = true;
+    head.provenExecuted = true;
     step(run->instance, [&](Relay &relay, RelayActions &actions) {
         relay.answered(run->flight, run->attempt, head, m_now, actions);
     });
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -605,7 +605,7 @@
         if (!std::exchange(run.answered, true)) {
             AnswerHead head;
             head.status = 200;
-            head.sealed = true;
+            head.provenExecuted = true;
             relay.answered(run.flight, run.attempt, head, m_now, actions);
         }
         const double pause = (m_now - caller.lastEventAt).count() / 1000.0;
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -114,12 +114,12 @@
     }
 }
 
-bool RelayWorld::answer(FlightId flight, int status, bool sealed, bool notExecuted,
+bool RelayWorld::answer(FlightId flight, int status, bool provenExecuted, bool notExecuted,
                         std::string_view at)
 {
     AnswerHead head;
     head.status = status;
-    head.sealed = sealed;
+    head.provenExecuted = provenExecuted;
     head.notExecuted = notExecuted;
     head.atAddress = at;
     return relay.answered(flight, sends(flight).back().attempt, head, now, actions);
--- a/src/fakes/relayharness.h
+++ b/src/fakes/relayharness.h
@@ -40,7 +40,7 @@
 
     // What the engines do
 
-    bool answer(FlightId flight, int status, bool sealed = true, bool notExecuted = false,
+    bool answer(FlightId flight, int status, bool provenExecuted = true, bool notExecuted = false,
                 std::string_view at = {});
     void events(FlightId flight, std::uint64_t lastEvent);
     void fail(FlightId flight, AttemptFailure failure);
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -42,7 +42,7 @@
 {
     int status = 0;
     bool notExecuted = false; ///< the endpoint promises that it did not run the request
-    bool sealed = false; ///< bears the mark of an endpoint that ran the request
+    bool provenExecuted = false; ///< bears the mark of an endpoint that ran the request
     std::string_view atAddress; ///< the engine at fault, when another one than asked
     std::optional<std::uint32_t> running; ///< requests at the endpoint
     /// Requests a second that the endpoint takes from all instances together; nothing: as
--- a/src/libbalsamloft/ratelimits_test.cpp
+++ b/src/libbalsamloft/ratelimits_test.cpp
@@ -240,7 +240,7 @@
     RelayWorld &world = *m_worlds[call.instance];
     AnswerHead head;
     head.status = 200;
-    head.sealed = true;
+    head.provenExecuted = true;
     if (call.endpoint == "e0") {
         head.rateLimit = m_limit;
         if (m_limit && !m_toldAt[call.instance])
@@ -432,7 +432,7 @@
         const SendRequest send = world.sends(flight).front();
         AnswerHead head;
         head.status = 200;
-        head.sealed = true;
+        head.provenExecuted = true;
         if (send.endpoint == "limited")
             head.rateLimit = 0.1;
         world.relay.answered(flight, send.attempt, head, world.now, world.actions);
@@ -462,7 +462,7 @@
     const FlightId call = world.submit(RequestKind::Unsafe);
     AnswerHead head;
     head.status = 200;
-    head.sealed = true;
+    head.provenExecuted = true;
     head.rateLimit = 0.1;
     world.relay.answered(call, world.sends(call).front().attempt, head, world.now, world.actions);
     world.submit(RequestKind::Stream);
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -478,7 +478,7 @@
 void Relay::noteLimit(const Flight &flight, const AnswerHead &head, Time now)
 {
     const FleetEndpoint *endpoint = m_fleet->find(flight.endpoint);
-    const bool ownWord = head.sealed || head.notExecuted;
+    const bool ownWord = head.provenExecuted || head.notExecuted;
     if (endpoint && (ownWord || head.rateLimit))
         m_limits.answered(*endpoint, head.rateLimit, now);
 }
@@ -498,7 +498,7 @@
         rejected(id, *flight, head, now, actions);
         return false;
     }
-    if (!head.sealed) {
+    if (!head.provenExecuted) {
         m_book.finished(flight->endpoint, true, now);
         again(id, *flight, true, flight->endpoint, "unsealed answer of " + flight->endpoint, now,
               actions);
