--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -75,7 +75,7 @@
         return refuse(502, end.reason);
     case FlightOutcome::TimedOut:
         return refuse(504, end.reason);
-    case FlightOutcome::CutShort:
+    case FlightOutcome::Truncated:
         // Closed without the last chunk, so that it does not look complete.
         logEnd("cut short", 200, end.reason);
         m_front.detach(*m_flight);
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -583,7 +583,7 @@
     m_callers[instance].erase(it);
     if (!caller.crashing && end.reason.starts_with("held back"))
         m_harmless.heldBack += 1;
-    if (end.end != FlightOutcome::CutShort && caller.retries > 0) {
+    if (end.end != FlightOutcome::Truncated && caller.retries > 0) {
         caller.retries -= 1;
         after(std::max(end.retryAfter, Duration(20'000)),
               [this, caller] { submit(pick(m_settings.instances), caller); });
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -92,7 +92,7 @@
     NotRun, ///< a promise: nothing ran, nothing will
     Failed, ///< it may have run
     TimedOut, ///< it may have run; its time is over
-    CutShort, ///< events were passed already: the answer must not look complete
+    Truncated, ///< events were passed already: the answer must not look complete
 };
 
 /// Refuse the request, or break its answer off. The flight has ended.
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -354,7 +354,7 @@
 FlightOutcome Relay::endOf(const Flight &flight, FlightOutcome ran)
 {
     if (flight.passing)
-        return FlightOutcome::CutShort;
+        return FlightOutcome::Truncated;
     return flight.ranAt.empty() ? FlightOutcome::NotRun : ran;
 }
 
@@ -522,7 +522,7 @@
     // The caller has the head and events of an earlier attempt: a failure after
     // them can only be shown by breaking off.
     if (flight->passing) {
-        end(id, FlightOutcome::CutShort, "failure of " + flight->endpoint, actions);
+        end(id, FlightOutcome::Truncated, "failure of " + flight->endpoint, actions);
         return false;
     }
     passAnswer(id, *flight, !failed, now, actions);
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -102,7 +102,7 @@
     world.answer(stream, 500);
     CHECK_FALSE(world.passed(stream));
     REQUIRE(world.end(stream));
-    CHECK(world.end(stream)->end == FlightOutcome::CutShort);
+    CHECK(world.end(stream)->end == FlightOutcome::Truncated);
 }
 
 // Late events of an attempt that was given up come after the stream went on
