--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -407,7 +407,7 @@
     sample("requests_not_run_total", counts.notRun);
     sample("requests_failed_total", counts.failed);
     sample("requests_timed_out_total", counts.timedOut);
-    sample("streams_cut_short_total", counts.cutShort);
+    sample("streams_cut_short_total", counts.truncated);
     sample("requests_resent_total", counts.resent);
     sample("retry_budget_spent_total", counts.budgetSpent);
     sample("paths_changed_total", counts.pathsChanged);
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -194,7 +194,7 @@
     std::uint64_t notRun = 0;
     std::uint64_t failed = 0;
     std::uint64_t timedOut = 0;
-    std::uint64_t cutShort = 0;
+    std::uint64_t truncated = 0;
     std::uint64_t resent = 0;
     std::uint64_t budgetSpent = 0;
     std::uint64_t pathsChanged = 0;
