--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -164,7 +164,7 @@
     if (m_events) {
         // Complete in form, but in the middle of an event: it was cut.
         if (m_events->partial())
-            m_front.relay().attemptFailed(*m_flight, m_attempt, AttemptFailure::Garbled, now,
+            m_front.relay().attemptFailed(*m_flight, m_attempt, AttemptFailure::InvalidAnswer, now,
                                           actions);
         else
             m_front.relay().streamEnded(*m_flight, m_attempt, now, actions);
--- a/src/entry/connectionpool.cpp
+++ b/src/entry/connectionpool.cpp
@@ -170,7 +170,7 @@
             return complete();
         return fail(m_reader->failure() == MessageReader::Failure::None || !m_reader->begun()
                         ? AttemptFailure::Broken
-                        : AttemptFailure::Garbled);
+                        : AttemptFailure::InvalidAnswer);
     }
     process();
     if (m_owner && m_connection)
@@ -189,7 +189,7 @@
     if (const auto keepFor = statedKeepAlive(head))
         m_connection->keepFor = *keepFor;
     if (head.find("Content-Encoding")) {
-        fail(AttemptFailure::Garbled);
+        fail(AttemptFailure::InvalidAnswer);
         return false;
     }
     m_inPieces = m_owner->headArrived(*m_reader);
@@ -202,7 +202,7 @@
         const std::size_t taken = m_reader->take(m_connection->in);
         m_connection->in.erase(0, taken);
         if (m_reader->failure() != MessageReader::Failure::None)
-            return fail(AttemptFailure::Garbled);
+            return fail(AttemptFailure::InvalidAnswer);
         if (!m_reader->headDone())
             return;
         if (!m_headSeen) {
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -545,7 +545,7 @@
     for (const auto &run : std::vector(m_runs))
         if (run->engine == engine && !run->over)
             after(Network + upTo(m_settings.breakSpread), [this, run] {
-                fail(run, run->events > 0 ? AttemptFailure::Garbled : AttemptFailure::Broken);
+                fail(run, run->events > 0 ? AttemptFailure::InvalidAnswer : AttemptFailure::Broken);
             });
     std::erase_if(m_runs, [&](const auto &run) { return run->over || run->engine == engine; });
     after(m_settings.listLag, [this, engine] {
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -34,7 +34,7 @@
 enum class AttemptFailure : std::uint8_t {
     NotSent, ///< no byte left: nothing ran
     Broken, ///< reset or closed early: it may have run
-    Garbled, ///< bytes that are no answer, or another request's answer
+    InvalidAnswer, ///< bytes that are no answer, or another request's answer
 };
 
 /// The head of an endpoint's answer, as far as decisions need it.
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -280,7 +280,7 @@
     world.events(other, 1);
     world.relay.reported("e1", {}, 1, world.now, world.actions);
     world.relay.aliveSeen("e1", world.now - milliseconds(50));
-    world.fail(other, AttemptFailure::Garbled);
+    world.fail(other, AttemptFailure::InvalidAnswer);
     world.relay.reportFailed("e1", world.now, world.actions, true);
     CHECK(world.relay.quarantine().crashes("bad", world.now) == 1);
 }
@@ -363,7 +363,7 @@
     }
     learnEnds(world, 3);
     CHECK_FALSE(world.end(flight));
-    world.fail(flight, AttemptFailure::Garbled);
+    world.fail(flight, AttemptFailure::InvalidAnswer);
     CHECK(world.sends(flight).size() == 2);
 }
 
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -448,7 +448,7 @@
     case AttemptFailure::Broken:
         return again(id, *flight, true, flight->endpoint, "broken off by " + flight->endpoint, now,
                      actions);
-    case AttemptFailure::Garbled:
+    case AttemptFailure::InvalidAnswer:
         return again(id, *flight, true, flight->endpoint, "bad answer of " + flight->endpoint, now,
                      actions);
     }
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -41,7 +41,7 @@
 // caller would send it again. Neither may happen.
 TEST_CASE("an unsafe call that may have run is never sent again, nor said not to have run")
 {
-    const auto failure = GENERATE(AttemptFailure::Broken, AttemptFailure::Garbled);
+    const auto failure = GENERATE(AttemptFailure::Broken, AttemptFailure::InvalidAnswer);
     RelayWorld world(twoPaths());
     const FlightId call = world.submit(RequestKind::Unsafe);
     world.fail(call, failure);
