--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -142,7 +142,7 @@
 struct FinishTrial
 {
     std::string digest;
-    TrialEnd end = TrialEnd::Open;
+    TrialOutcome end = TrialOutcome::Open;
 };
 
 using RelayAction = std::variant<SendRequest, AbandonAttempt, PassAnswer, FinishFlight, QueryEngine,
@@ -368,7 +368,7 @@
     bool underSuspicion(const Flight &flight, Time now) const;
     bool awaitTrial(FlightId id, Flight &flight, Time now, RelayActions &actions);
     bool choose(Flight &flight, Time now, SendRequest &send);
-    void endTrial(Flight &flight, TrialEnd end, RelayActions &actions);
+    void endTrial(Flight &flight, TrialOutcome end, RelayActions &actions);
     bool mayRun(const Flight &flight, Time now) const;
     bool holdBack(FlightId id, Flight &flight, Time now, RelayActions &actions);
     void endHeld(FlightId id, const Flight &flight, Duration wait, Time now, RelayActions &actions);
--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -56,7 +56,7 @@
 };
 
 /// How a try ended.
-enum class TrialEnd : std::uint8_t {
+enum class TrialOutcome : std::uint8_t {
     CameThrough,
     NotSent, ///< it reached no endpoint
     Open, ///< it was rejected: nothing is known
@@ -106,7 +106,7 @@
                        Time storeNow) const;
 
     /// What is to be written when an own try is over; nothing when it is no longer held.
-    std::optional<TrialChange> release(const std::string &digest, TrialEnd end) const;
+    std::optional<TrialChange> release(const std::string &digest, TrialOutcome end) const;
 
     /// Rows that no try needs any more.
     std::vector<std::string> outdated(Time storeNow) const;
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -319,7 +319,7 @@
         return;
     SendRequest send;
     if (!choose(flight, now, send))
-        return endTrial(flight, TrialEnd::NotSent, actions);
+        return endTrial(flight, TrialOutcome::NotSent, actions);
     if (flight.repeatOwed && !payRepeat(flight, now))
         return;
     flight.repeatOwed = false;
@@ -441,7 +441,7 @@
         noteBrokenOff(*flight, now, actions);
     switch (failure) {
     case AttemptFailure::NotSent:
-        endTrial(*flight, TrialEnd::NotSent, actions);
+        endTrial(*flight, TrialOutcome::NotSent, actions);
         m_book.suspect(flight->endpoint, now);
         return again(id, *flight, false, flight->endpoint, "not reached: " + flight->endpoint, now,
                      actions);
@@ -469,7 +469,7 @@
         m_book.outOfRoom(culprit, now);
     std::string reason = "refused by " + culprit + " with " + std::to_string(head.status);
     if (flight.trial.state == Trial::State::Sent) {
-        endTrial(flight, TrialEnd::Open, actions);
+        endTrial(flight, TrialOutcome::Open, actions);
         return end(id, endOf(flight, FlightOutcome::Failed), std::move(reason), actions);
     }
     again(id, flight, false, culprit, std::move(reason), now, actions);
@@ -533,7 +533,7 @@
 {
     if (ranWell)
         m_quarantine.cameThrough(flight.request.digest, now);
-    endTrial(flight, ranWell ? TrialEnd::CameThrough : TrialEnd::Open, actions);
+    endTrial(flight, ranWell ? TrialOutcome::CameThrough : TrialOutcome::Open, actions);
     release(flight);
     m_flights.erase(id);
     m_counts.passed += 1;
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -59,7 +59,7 @@
         return;
     flight.runsWell = true;
     m_quarantine.cameThrough(flight.request.digest, now);
-    endTrial(flight, TrialEnd::CameThrough, actions);
+    endTrial(flight, TrialOutcome::CameThrough, actions);
 }
 
 /// Of endpoints that are asked and do not answer the list tells: one that announces
@@ -146,7 +146,7 @@
     const auto it = m_flights.find(id);
     if (it == m_flights.end() || it->second.trial.state != Trial::State::Asked) {
         if (answer.granted)
-            actions.push_back(FinishTrial {request.digest, TrialEnd::NotSent});
+            actions.push_back(FinishTrial {request.digest, TrialOutcome::NotSent});
         return;
     }
     Flight &flight = it->second;
@@ -169,7 +169,7 @@
         flight.trial.until = Time {};
 }
 
-void Relay::endTrial(Flight &flight, TrialEnd end, RelayActions &actions)
+void Relay::endTrial(Flight &flight, TrialOutcome end, RelayActions &actions)
 {
     if (flight.trial.state < Trial::State::Granted)
         return;
--- a/src/libbalsamloft/trialpermits.cpp
+++ b/src/libbalsamloft/trialpermits.cpp
@@ -129,7 +129,7 @@
         m_crashes.emplace(change.crash->digest, change.crash->endpoint);
 }
 
-std::optional<TrialChange> TrialPermits::release(const std::string &digest, TrialEnd end) const
+std::optional<TrialChange> TrialPermits::release(const std::string &digest, TrialOutcome end) const
 {
     TrialRow content = row(trialKeyOfContent(digest));
     const TrialRow endpoint = row(trialKeyOfEndpoint(content.at));
@@ -137,11 +137,11 @@
         return std::nullopt;
     TrialChange change;
     change.removed.push_back(endpoint);
-    if (end == TrialEnd::CameThrough) {
+    if (end == TrialOutcome::CameThrough) {
         change.removed.push_back(std::move(content));
         return change;
     }
-    if (end == TrialEnd::NotSent && content.tries > 0)
+    if (end == TrialOutcome::NotSent && content.tries > 0)
         content.tries -= 1;
     content.at.clear();
     change.rows.push_back(std::move(content));
--- a/src/libbalsamloft/trialpermits_test.cpp
+++ b/src/libbalsamloft/trialpermits_test.cpp
@@ -46,7 +46,7 @@
         return permits.answer(request, change, done, now);
     }
 
-    void end(std::size_t instance, const std::string &digest, TrialEnd how)
+    void end(std::size_t instance, const std::string &digest, TrialOutcome how)
     {
         const auto change = m_instances[instance].release(digest, how);
         if (!change)
@@ -146,7 +146,7 @@
     Fleet fleet(2);
     for (int i = 0; i < 3; ++i) {
         REQUIRE(fleet.ask(0, {"bad", "e1", true}).granted);
-        fleet.end(0, "bad", TrialEnd::Open);
+        fleet.end(0, "bad", TrialOutcome::Open);
     }
     const TrialAnswer fourth = fleet.ask(1, {"bad", "e2", true});
     fleet.tellAll();
@@ -160,10 +160,10 @@
     Fleet fleet(2);
     for (int i = 0; i < 5; ++i) {
         REQUIRE(fleet.ask(0, {"beside", "e1", true}).granted);
-        fleet.end(0, "beside", TrialEnd::NotSent);
+        fleet.end(0, "beside", TrialOutcome::NotSent);
     }
     REQUIRE(fleet.ask(0, {"beside", "e1", true}).granted);
-    fleet.end(0, "beside", TrialEnd::CameThrough);
+    fleet.end(0, "beside", TrialOutcome::CameThrough);
     fleet.tellAll();
     CHECK(fleet.ask(1, {"beside", "e1", true}).granted);
 }
@@ -177,7 +177,7 @@
     fleet.now += seconds(11);
     REQUIRE(fleet.ask(1, {"bad", "e2"}).granted);
     fleet.tellAll();
-    fleet.end(0, "bad", TrialEnd::Open);
+    fleet.end(0, "bad", TrialOutcome::Open);
     fleet.tellAll();
     CHECK_FALSE(fleet.ask(0, {"bad", "e3"}).granted);
 }
