--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -57,7 +57,7 @@
 
 /// How a try ended.
 enum class TrialOutcome : std::uint8_t {
-    CameThrough,
+    Succeeded,
     NotSent, ///< it reached no endpoint
     Open, ///< it was rejected: nothing is known
 };
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -533,7 +533,7 @@
 {
     if (ranWell)
         m_quarantine.cameThrough(flight.request.digest, now);
-    endTrial(flight, ranWell ? TrialOutcome::CameThrough : TrialOutcome::Open, actions);
+    endTrial(flight, ranWell ? TrialOutcome::Succeeded : TrialOutcome::Open, actions);
     release(flight);
     m_flights.erase(id);
     m_counts.passed += 1;
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -59,7 +59,7 @@
         return;
     flight.runsWell = true;
     m_quarantine.cameThrough(flight.request.digest, now);
-    endTrial(flight, TrialOutcome::CameThrough, actions);
+    endTrial(flight, TrialOutcome::Succeeded, actions);
 }
 
 /// Of endpoints that are asked and do not answer the list tells: one that announces
--- a/src/libbalsamloft/trialpermits.cpp
+++ b/src/libbalsamloft/trialpermits.cpp
@@ -137,7 +137,7 @@
         return std::nullopt;
     TrialChange change;
     change.removed.push_back(endpoint);
-    if (end == TrialOutcome::CameThrough) {
+    if (end == TrialOutcome::Succeeded) {
         change.removed.push_back(std::move(content));
         return change;
     }
--- a/src/libbalsamloft/trialpermits_test.cpp
+++ b/src/libbalsamloft/trialpermits_test.cpp
@@ -163,7 +163,7 @@
         fleet.end(0, "beside", TrialOutcome::NotSent);
     }
     REQUIRE(fleet.ask(0, {"beside", "e1", true}).granted);
-    fleet.end(0, "beside", TrialOutcome::CameThrough);
+    fleet.end(0, "beside", TrialOutcome::Succeeded);
     fleet.tellAll();
     CHECK(fleet.ask(1, {"beside", "e1", true}).granted);
 }
