--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -142,7 +142,7 @@
 struct FinishTrial
 {
     std::string digest;
-    TrialOutcome end = TrialOutcome::Open;
+    TrialOutcome end = TrialOutcome::Inconclusive;
 };
 
 using RelayAction = std::variant<SendRequest, AbandonAttempt, PassAnswer, FinishFlight, QueryEngine,
--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -59,7 +59,7 @@
 enum class TrialOutcome : std::uint8_t {
     Succeeded,
     NotSent, ///< it reached no endpoint
-    Open, ///< it was rejected: nothing is known
+    Inconclusive, ///< it was rejected: nothing is known
 };
 
 /// Settings of TrialPermits.
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -469,7 +469,7 @@
         m_book.outOfRoom(culprit, now);
     std::string reason = "refused by " + culprit + " with " + std::to_string(head.status);
     if (flight.trial.state == Trial::State::Sent) {
-        endTrial(flight, TrialOutcome::Open, actions);
+        endTrial(flight, TrialOutcome::Inconclusive, actions);
         return end(id, endOf(flight, FlightOutcome::Failed), std::move(reason), actions);
     }
     again(id, flight, false, culprit, std::move(reason), now, actions);
@@ -533,7 +533,7 @@
 {
     if (ranWell)
         m_quarantine.cameThrough(flight.request.digest, now);
-    endTrial(flight, ranWell ? TrialOutcome::Succeeded : TrialOutcome::Open, actions);
+    endTrial(flight, ranWell ? TrialOutcome::Succeeded : TrialOutcome::Inconclusive, actions);
     release(flight);
     m_flights.erase(id);
     m_counts.passed += 1;
--- a/src/libbalsamloft/trialpermits_test.cpp
+++ b/src/libbalsamloft/trialpermits_test.cpp
@@ -146,7 +146,7 @@
     Fleet fleet(2);
     for (int i = 0; i < 3; ++i) {
         REQUIRE(fleet.ask(0, {"bad", "e1", true}).granted);
-        fleet.end(0, "bad", TrialOutcome::Open);
+        fleet.end(0, "bad", TrialOutcome::Inconclusive);
     }
     const TrialAnswer fourth = fleet.ask(1, {"bad", "e2", true});
     fleet.tellAll();
@@ -177,7 +177,7 @@
     fleet.now += seconds(11);
     REQUIRE(fleet.ask(1, {"bad", "e2"}).granted);
     fleet.tellAll();
-    fleet.end(0, "bad", TrialOutcome::Open);
+    fleet.end(0, "bad", TrialOutcome::Inconclusive);
     fleet.tellAll();
     CHECK_FALSE(fleet.ask(0, {"bad", "e3"}).granted);
 }
