--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -105,7 +105,7 @@
                        [this, reports = std::move(reports)] { m_front.enginesSeen(reports); });
         };
         events.crashes = [this](std::vector<CrashRecord> all) {
-            asio::post(m_traffic, [this, all = std::move(all)] { m_front.learnCrashes(all); });
+            asio::post(m_traffic, [this, all = std::move(all)] { m_front.setSharedCrashes(all); });
         };
         return events;
     }
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -35,7 +35,7 @@
     void setFleet(FleetPtr fleet);
     void setInstances(const InstancesKnown &known);
     void enginesSeen(const EngineReports &reports);
-    void learnCrashes(const std::vector<CrashRecord> &all) { m_relay.learnCrashes(all); }
+    void setSharedCrashes(const std::vector<CrashRecord> &all) { m_relay.setSharedCrashes(all); }
 
     /// Takes over what may change while the process runs: times of keys and of a
     /// stop, the budget of repeats, how much is logged.
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -285,7 +285,7 @@
 void CrashWorld::learn()
 {
     for (const auto &relay : m_relays)
-        relay->learnCrashes(m_told);
+        relay->setSharedCrashes(m_told);
     for (TrialPermits &permits : m_permits)
         permits.learn(m_trials.rows(), m_told);
 }
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -250,7 +250,7 @@
     }
 
     /// All that instances told each other about endpoints that ended under requests.
-    void learnCrashes(const std::vector<CrashRecord> &all) { m_quarantine.learn(all); }
+    void setSharedCrashes(const std::vector<CrashRecord> &all) { m_quarantine.learn(all); }
 
     /// The answer to RequestTrial with \a request.
     void trialAnswered(FlightId id, const TrialRequest &request, const TrialAnswer &answer,
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -39,7 +39,7 @@
     std::vector<CrashRecord> told;
     for (int i = 0; i < ends; ++i)
         told.push_back({"bad", "gone" + std::to_string(i), world.now});
-    world.relay.learnCrashes(told);
+    world.relay.setSharedCrashes(told);
     world.pass(seconds(3));
 }
 
