--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -323,7 +323,7 @@
     constexpr Duration Noticeable {50'000};
     const Duration suspended = bootNow() - steadyNow();
     if (m_suspended != Duration::max() && suspended - m_suspended > Noticeable)
-        m_relay.dropTrials();
+        m_relay.expireTrials();
     m_suspended = suspended;
 }
 
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -257,7 +257,7 @@
                        Time now, RelayActions &actions);
 
     /// This process stood still for an unknown time: permits may have run out.
-    void dropTrials();
+    void expireTrials();
     void follow(FleetPtr fleet, Time now, RelayActions &actions);
     void tick(Time now, RelayActions &actions);
 
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -163,7 +163,7 @@
     endHeld(id, flight, answer.wait, now, actions);
 }
 
-void Relay::dropTrials()
+void Relay::expireTrials()
 {
     for (auto &[id, flight] : m_flights)
         flight.trial.until = Time {};
