--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -102,7 +102,7 @@
         };
         events.engines = [this](EngineReports reports) {
             asio::post(m_traffic,
-                       [this, reports = std::move(reports)] { m_front.enginesSeen(reports); });
+                       [this, reports = std::move(reports)] { m_front.applyEngineReports(reports); });
         };
         events.crashes = [this](std::vector<CrashRecord> all) {
             asio::post(m_traffic, [this, all = std::move(all)] { m_front.setSharedCrashes(all); });
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -146,10 +146,10 @@
     m_relay.setRetries(relay.retryRatio, relay.retrySlack);
 }
 
-void TrafficFront::enginesSeen(const EngineReports &reports)
+void TrafficFront::applyEngineReports(const EngineReports &reports)
 {
     RelayActions actions;
-    m_relay.enginesSeen(reports, steadyNow(), actions);
+    m_relay.applyEngineReports(reports, steadyNow(), actions);
     run(std::move(actions));
 }
 
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -34,7 +34,7 @@
     void setTable(RouteMapPtr table);
     void setFleet(FleetPtr fleet);
     void setInstances(const InstancesKnown &known);
-    void enginesSeen(const EngineReports &reports);
+    void applyEngineReports(const EngineReports &reports);
     void setSharedCrashes(const std::vector<CrashRecord> &all) { m_relay.setSharedCrashes(all); }
 
     /// Takes over what may change while the process runs: times of keys and of a
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -457,7 +457,7 @@
         silent.at = m_now;
         for (std::size_t i = 0; i < m_relays.size(); ++i)
             step(i, [&](Relay &relay, RelayActions &actions) {
-                relay.enginesSeen({{silent}, {}}, m_now, actions);
+                relay.applyEngineReports({{silent}, {}}, m_now, actions);
             });
     });
     after(m_settings.restart, [this, engine] { endEngine(engine); });
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -195,7 +195,7 @@
             for (std::size_t i = 0; i < m_relays.size(); ++i) {
                 RelayActions actions;
                 m_relays[i].follow(snapshot, m_now, actions);
-                m_relays[i].enginesSeen({states, {}}, m_now, actions);
+                m_relays[i].applyEngineReports({states, {}}, m_now, actions);
                 carryOut(i, actions);
             }
         });
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -262,7 +262,7 @@
     void tick(Time now, RelayActions &actions);
 
     /// States of engines, as this or another instance asked for them.
-    void enginesSeen(const EngineReports &reports, Time now, RelayActions &actions);
+    void applyEngineReports(const EngineReports &reports, Time now, RelayActions &actions);
 
     /// How many instances share the endpoints of this domain, and in all.
     void setInstances(std::size_t inDomain, std::size_t all, Time now);
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -554,7 +554,7 @@
         EngineReports reports;
         reports.changed.push_back({"e1", tokens, 1, 0, 1, false, world.now - age});
         reports.asOf["near"] = world.now;
-        world.relay.enginesSeen(reports, world.now, world.actions);
+        world.relay.applyEngineReports(reports, world.now, world.actions);
     };
     told(1000, milliseconds(100));
     CHECK(used() == 1000);
@@ -572,12 +572,12 @@
     RelayWorld world({{"e1", {0, 8}}});
     EngineReports reports;
     reports.changed.push_back({"e1", 1000, 1, 0, 1, false, world.now});
-    world.relay.enginesSeen(reports, world.now, world.actions);
+    world.relay.applyEngineReports(reports, world.now, world.actions);
     reports.changed.clear();
     for (int second = 0; second < 5; ++second) {
         world.pass(seconds(1));
         reports.asOf["near"] = world.now;
-        world.relay.enginesSeen(reports, world.now, world.actions);
+        world.relay.applyEngineReports(reports, world.now, world.actions);
     }
     CHECK(world.relay.book().load("e1", "near", world.now).reported);
     world.pass(seconds(3));
@@ -597,14 +597,14 @@
         world.answer(world.submit(RequestKind::Stream), 200);
     } else {
         state.at = world.now;
-        world.relay.enginesSeen({{state}, {}}, world.now, world.actions);
+        world.relay.applyEngineReports({{state}, {}}, world.now, world.actions);
     }
     state.at = silentAt;
     state.silent = true;
-    world.relay.enginesSeen({{state}, {}}, world.now, world.actions);
+    world.relay.applyEngineReports({{state}, {}}, world.now, world.actions);
     CHECK(world.relay.book().usable("engine", world.now));
     world.pass(milliseconds(500));
     state.at = world.now;
-    world.relay.enginesSeen({{state}, {}}, world.now, world.actions);
+    world.relay.applyEngineReports({{state}, {}}, world.now, world.actions);
     CHECK_FALSE(world.relay.book().usable("engine", world.now));
 }
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -40,7 +40,7 @@
     tick(now, actions);
 }
 
-void Relay::enginesSeen(const EngineReports &reports, Time now, RelayActions &actions)
+void Relay::applyEngineReports(const EngineReports &reports, Time now, RelayActions &actions)
 {
     for (const EngineState &state : reports.changed) {
         if (!m_fleet->find(state.id))
