--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -209,7 +209,7 @@
     if (outcome.left)
         m_relay.aliveSeen(endpoint, askedAt);
     else
-        m_relay.reportFailed(endpoint, steadyNow(), actions, outcome.refused);
+        m_relay.queryFailed(endpoint, steadyNow(), actions, outcome.refused);
     run(std::move(actions));
 }
 
@@ -253,7 +253,7 @@
             "engine", "silent",
             {{"endpoint", std::string_view(endpoint)}, {"status", std::int64_t(outcome.status)}});
         if (gone)
-            m_relay.reportFailed(endpoint, steadyNow(), actions, outcome.refused || replaced);
+            m_relay.queryFailed(endpoint, steadyNow(), actions, outcome.refused || replaced);
         else
             m_relay.aliveSeen(endpoint, askedAt);
         if (gone && m_engineSilent)
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -600,12 +600,12 @@
         if (m_engines[engine].hangs && !m_engines[engine].ended)
             return after(QuestionWithin, [this, instance, endpoint] {
                 step(instance, [&](Relay &relay, RelayActions &actions) {
-                    relay.reportFailed(endpoint, m_now, actions, false);
+                    relay.queryFailed(endpoint, m_now, actions, false);
                 });
             });
         step(instance, [&](Relay &relay, RelayActions &actions) {
             if (m_engines[engine].ended)
-                relay.reportFailed(endpoint, m_now, actions, true);
+                relay.queryFailed(endpoint, m_now, actions, true);
             else {
                 relay.aliveSeen(endpoint, asked);
                 relay.reported(endpoint, stalledAt(engine), 1, m_now, actions);
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -292,7 +292,7 @@
         at(2 * Hop, [this, instance, id, index] {
             RelayActions actions;
             if (m_now < m_engines[index].downUntil) {
-                m_relays[instance].reportFailed(id, m_now, actions);
+                m_relays[instance].queryFailed(id, m_now, actions);
             } else {
                 std::vector<std::string> stalled;
                 for (const Run &run : m_runs)
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -240,7 +240,7 @@
                   double pace, Time now, RelayActions &actions);
 
     /// An engine did not answer QueryEngine; \a refused: nobody listens at its address.
-    void reportFailed(const std::string &endpoint, Time now, RelayActions &actions,
+    void queryFailed(const std::string &endpoint, Time now, RelayActions &actions,
                       bool refused = false);
 
     /// The endpoint answered a question that was sent at \a asked, whatever it said.
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -264,7 +264,7 @@
     world.relay.callerGone(flight, world.now, world.actions);
     world.pass(milliseconds(250));
     REQUIRE(world.asked() == std::vector<std::string> {engine});
-    world.relay.reportFailed(engine, world.now, world.actions, true);
+    world.relay.queryFailed(engine, world.now, world.actions, true);
     CHECK(world.relay.quarantine().crashes("bad", world.now) == 1);
 }
 
@@ -281,7 +281,7 @@
     world.relay.reported("e1", {}, 1, world.now, world.actions);
     world.relay.aliveSeen("e1", world.now - milliseconds(50));
     world.fail(other, AttemptFailure::InvalidAnswer);
-    world.relay.reportFailed("e1", world.now, world.actions, true);
+    world.relay.queryFailed("e1", world.now, world.actions, true);
     CHECK(world.relay.quarantine().crashes("bad", world.now) == 1);
 }
 
@@ -292,7 +292,7 @@
     const FlightId flight = submitBad(world);
     const std::string engine = world.sends(flight).back().endpoint;
     world.fail(flight, AttemptFailure::Broken);
-    world.relay.reportFailed(engine, world.now, world.actions, false);
+    world.relay.queryFailed(engine, world.now, world.actions, false);
     CHECK(world.relay.quarantine().crashes("bad", world.now) == 0);
 }
 
@@ -310,7 +310,7 @@
     world.pass(seconds(1));
     world.relay.reported("first", {world.addressOf(middle)}, 1, world.now, world.actions);
     world.pass(milliseconds(100));
-    world.relay.reportFailed(middle, world.now, world.actions, true);
+    world.relay.queryFailed(middle, world.now, world.actions, true);
     CHECK(world.relay.quarantine().crashes("bad", world.now) == (passedOn ? 0 : 1));
 }
 
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -185,7 +185,7 @@
     REQUIRE(world.answer(stream, 200));
     world.events(stream, 4);
     const std::string silent = world.sends(stream).back().path.back().endpoint;
-    world.relay.reportFailed(silent, world.now, world.actions);
+    world.relay.queryFailed(silent, world.now, world.actions);
     world.pass(milliseconds(1500));
     CHECK_FALSE(world.end(stream));
     world.events(stream, 5);
@@ -202,7 +202,7 @@
     const FlightId stream = world.submit(RequestKind::Stream);
     REQUIRE(world.answer(stream, 200));
     world.events(stream, 3);
-    world.relay.reportFailed("two", world.now, world.actions);
+    world.relay.queryFailed("two", world.now, world.actions);
     world.pass(milliseconds(1500));
     CHECK(world.abandoned(stream) == 0);
     world.events(stream, 4);
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -55,7 +55,7 @@
     tick(now, actions);
 }
 
-void Relay::reportFailed(const std::string &endpoint, Time now, RelayActions &actions, bool refused)
+void Relay::queryFailed(const std::string &endpoint, Time now, RelayActions &actions, bool refused)
 {
     m_book.suspect(endpoint, now);
     if (refused)
