--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -167,7 +167,7 @@
             m_front.relay().attemptFailed(*m_flight, m_attempt, AttemptFailure::InvalidAnswer, now,
                                           actions);
         else
-            m_front.relay().streamEnded(*m_flight, m_attempt, now, actions);
+            m_front.relay().streamCompleted(*m_flight, m_attempt, now, actions);
         return m_front.run(std::move(actions));
     }
     m_answer.emplace(std::move(answer));
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -522,7 +522,7 @@
         relay.eventsPassed(run->flight, run->attempt, m_next++, m_now, actions);
         if (caller->second.eventsLeft == 0) {
             run->over = true;
-            relay.streamEnded(run->flight, run->attempt, m_now, actions);
+            relay.streamCompleted(run->flight, run->attempt, m_now, actions);
         }
     });
     if (!run->over)
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -623,7 +623,7 @@
         m_tokens += m_service.model->stride;
         relay.eventsPassed(run.flight, run.attempt, caller.events, m_now, actions);
         if (run.made >= run.answer) {
-            relay.streamEnded(run.flight, run.attempt, m_now, actions);
+            relay.streamCompleted(run.flight, run.attempt, m_now, actions);
             caller.over = true;
             record(caller);
             run.over = true;
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -137,7 +137,7 @@
 
 void RelayWorld::endStream(FlightId flight)
 {
-    relay.streamEnded(flight, sends(flight).back().attempt, now, actions);
+    relay.streamCompleted(flight, sends(flight).back().attempt, now, actions);
 }
 
 void RelayWorld::answerPathChange(FlightId flight, PathReply reply, const std::string &culprit)
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -226,7 +226,7 @@
                       Time now, RelayActions &actions);
 
     /// The engine ended the stream as complete.
-    void streamEnded(FlightId id, std::uint32_t attempt, Time now, RelayActions &actions);
+    void streamCompleted(FlightId id, std::uint32_t attempt, Time now, RelayActions &actions);
     void callerGone(FlightId id, Time now, RelayActions &actions);
 
     /// The first engine answered a ChangePath, or did not; \a atAddress: the engine
--- a/src/libbalsamloft/ratelimits_test.cpp
+++ b/src/libbalsamloft/ratelimits_test.cpp
@@ -247,7 +247,7 @@
             m_toldAt[call.instance] = m_now;
     }
     if (world.relay.answered(call.flight, call.attempt, head, world.now, world.actions))
-        world.relay.streamEnded(call.flight, call.attempt, world.now, world.actions);
+        world.relay.streamCompleted(call.flight, call.attempt, world.now, world.actions);
     collect(call.instance);
 }
 
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -553,7 +553,7 @@
         flight->lastEvent = lastEvent;
 }
 
-void Relay::streamEnded(FlightId id, std::uint32_t attempt, Time now, RelayActions &actions)
+void Relay::streamCompleted(FlightId id, std::uint32_t attempt, Time now, RelayActions &actions)
 {
     Flight *flight = current(id, attempt);
     if (!flight)
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -117,7 +117,7 @@
     world.fail(stream, AttemptFailure::Broken);
     world.relay.eventsPassed(stream, old, 9, world.now, world.actions);
     CHECK(world.relay.lastEvent(stream) == 3);
-    world.relay.streamEnded(stream, old, world.now, world.actions);
+    world.relay.streamCompleted(stream, old, world.now, world.actions);
     CHECK_FALSE(world.passed(stream));
 }
 
