--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -192,7 +192,7 @@
         return recover(id, flight, "stands still", now, actions);
     const auto patience =
         Duration(static_cast<std::int64_t>(expected.count() * m_settings.silenceGaps));
-    if (pause >= std::max(m_settings.silence, patience))
+    if (pause >= std::max(m_settings.queryAfterPause, patience))
         ask(flight.endpoint, now, actions);
 }
 
