--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -158,7 +158,7 @@
     Duration retryWindow {10'000'000}; ///< the window
     double keptForBegun = 0.5; ///< share of the slack for streams that have begun
     Duration queryAfterPause {250'000}; ///< shortest pause after which an engine is asked
-    double silenceGaps = 4; ///< or so many expected pauses
+    double queryAfterGaps = 4; ///< or so many expected pauses
     Duration askAgain {350'000}; ///< between two questions to one engine
     Duration brokenPause {120'000}; ///< a stream through a suspected engine that paused this long
     Duration giveUpStart {1'700'000}; ///< after which a request that has not begun is moved
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -191,7 +191,7 @@
     if (idempotent && pause >= most + expected && worthMoving(flight, now))
         return recover(id, flight, "stands still", now, actions);
     const auto patience =
-        Duration(static_cast<std::int64_t>(expected.count() * m_settings.silenceGaps));
+        Duration(static_cast<std::int64_t>(expected.count() * m_settings.queryAfterGaps));
     if (pause >= std::max(m_settings.queryAfterPause, patience))
         ask(flight.endpoint, now, actions);
 }
