--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -159,7 +159,7 @@
     double keptForBegun = 0.5; ///< share of the slack for streams that have begun
     Duration queryAfterPause {250'000}; ///< shortest pause after which an engine is asked
     double queryAfterGaps = 4; ///< or so many expected pauses
-    Duration askAgain {350'000}; ///< between two questions to one engine
+    Duration queryInterval {350'000}; ///< between two questions to one engine
     Duration brokenPause {120'000}; ///< a stream through a suspected engine that paused this long
     Duration giveUpStart {1'700'000}; ///< after which a request that has not begun is moved
     Duration giveUpPause {1'200'000}; ///< pause after which a stream is moved without proof
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -22,7 +22,7 @@
 void Relay::ask(const std::string &endpoint, Time now, RelayActions &actions)
 {
     const auto [it, fresh] = m_askedAt.try_emplace(endpoint, now);
-    if (!fresh && now - it->second < m_settings.askAgain)
+    if (!fresh && now - it->second < m_settings.queryInterval)
         return;
     it->second = now;
     if (const FleetEndpoint *found = m_fleet->find(endpoint))
