--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -176,7 +176,7 @@
         flight.state == State::Streaming ? flight.expectedGap : flight.expectedFirst;
     const std::optional<std::string> suspect = firstSuspect(flight, now);
     const bool idempotent = flight.request.route->idempotent();
-    if (suspect && pause >= m_settings.brokenPause + expected) {
+    if (suspect && pause >= m_settings.suspectPause + expected) {
         noteStalled(flight, *suspect, now);
         flight.lastReason = "an engine of its path does not answer";
         if (changePath(id, flight, now, actions))
