--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -187,7 +187,7 @@
     // One that has not begun may wait its turn at a busy engine; moved, it
     // would wait again elsewhere, and cost a repeat.
     const Duration most =
-        flight.state == State::Streaming ? m_settings.giveUpPause : m_settings.startTimeout;
+        flight.state == State::Streaming ? m_settings.stallTimeout : m_settings.startTimeout;
     if (idempotent && pause >= most + expected && worthMoving(flight, now))
         return recover(id, flight, "stands still", now, actions);
     const auto patience =
