--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -163,7 +163,7 @@
     Duration suspectPause {120'000}; ///< a stream through a suspected engine that paused this long
     Duration startTimeout {1'700'000}; ///< after which a request that has not begun is moved
     Duration stallTimeout {1'200'000}; ///< pause after which a stream is moved without proof
-    Duration resumeWithin {1'700'000}; ///< one that may have run but has not begun waits so long
+    Duration rerunTimeout {1'700'000}; ///< one that may have run but has not begun waits so long
     /// A stream that has begun waits so long for a path: as long as callers do, who
     /// leave after a pause of two seconds or more. Broken off a few tenths before
     /// that, it is lost to a caller who was still there.
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -131,7 +131,7 @@
         * (service(flight).model ? m_settings.holdStreams : m_settings.holdCalls)));
     const Duration paused = now - flight.progressAt;
     const bool over = flight.passing          ? paused >= m_settings.goOnWithin
-                      : !flight.ranAt.empty() ? paused >= m_settings.resumeWithin
+                      : !flight.ranAt.empty() ? paused >= m_settings.rerunTimeout
                                               : waited >= hold;
     if (!over)
         return;
