--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -167,7 +167,7 @@
     /// A stream that has begun waits so long for a path: as long as callers do, who
     /// leave after a pause of two seconds or more. Broken off a few tenths before
     /// that, it is lost to a caller who was still there.
-    Duration goOnWithin {2'500'000};
+    Duration resumeTimeout {2'500'000};
     std::uint32_t mostPathChanges = 4; ///< of one attempt
     Duration pathChangeWithin {700'000}; ///< an order to change a path is answered by then
     Duration callSilence {400'000}; ///< an idempotent call is then tried elsewhere
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -130,7 +130,7 @@
         static_cast<double>(flight.request.route->targetLatency.count())
         * (service(flight).model ? m_settings.holdStreams : m_settings.holdCalls)));
     const Duration paused = now - flight.progressAt;
-    const bool over = flight.passing          ? paused >= m_settings.goOnWithin
+    const bool over = flight.passing          ? paused >= m_settings.resumeTimeout
                       : !flight.ranAt.empty() ? paused >= m_settings.rerunTimeout
                                               : waited >= hold;
     if (!over)
