--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -168,7 +168,7 @@
     /// leave after a pause of two seconds or more. Broken off a few tenths before
     /// that, it is lost to a caller who was still there.
     Duration resumeTimeout {2'500'000};
-    std::uint32_t mostPathChanges = 4; ///< of one attempt
+    std::uint32_t maxPathChanges = 4; ///< of one attempt
     Duration pathChangeWithin {700'000}; ///< an order to change a path is answered by then
     Duration callSilence {400'000}; ///< an idempotent call is then tried elsewhere
     double holdCalls = 0.12; ///< share of the target latency that a call waits for an endpoint
--- a/src/libbalsamloft/relaypath.cpp
+++ b/src/libbalsamloft/relaypath.cpp
@@ -12,7 +12,7 @@
 /// the first engine is told another path. What it cannot do is sent again.
 bool Relay::changePath(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
-    if (flight.path.size() < 2 || flight.pathChanges >= m_settings.mostPathChanges
+    if (flight.path.size() < 2 || flight.pathChanges >= m_settings.maxPathChanges
         || underSuspicion(flight, now))
         return false;
     const PathPart first = flight.path.front();
