--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -339,7 +339,7 @@
      "if (changePath(id, flight, now, actions))\n            return;", "",
      "relay_test: a stream whose engine died goes on along another path without being sent again"),
     ("an unanswered change of path", "src/libbalsamloft/relaywatch.cpp",
-     "if (now - *flight.pathAskedAt >= m_settings.pathChangeWithin)", "if (false)",
+     "if (now - *flight.pathAskedAt >= m_settings.pathChangeTimeout)", "if (false)",
      "relay_test: a change of path that is not answered ends in another send"),
     ("repeats count for the whole window", "src/libbalsamloft/retrybudget.cpp",
      "m_settings.window + m_settings.window / SlicesInWindow;",
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -167,7 +167,7 @@
 void Relay::watchStream(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (flight.pathAskedAt) {
-        if (now - *flight.pathAskedAt >= m_settings.pathChangeWithin)
+        if (now - *flight.pathAskedAt >= m_settings.pathChangeTimeout)
             pathChanged(id, flight.attempt, PathReply::Lost, {}, now, actions);
         return;
     }
