--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -114,7 +114,7 @@
         return giveUpWaiting(id, flight, now, actions);
     if (service(flight).model)
         return watchStream(id, flight, now, actions);
-    if (flight.request.route->idempotent() && now - flight.sentAt >= m_settings.callSilence
+    if (flight.request.route->idempotent() && now - flight.sentAt >= m_settings.callAttemptTimeout
         && flight.sends < flight.request.route->maxAttempts && mayRunAgain(flight))
         recover(id, flight, "no answer of " + flight.endpoint, now, actions);
 }
