--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -128,7 +128,7 @@
     const Duration waited = now - flight.waitingSince;
     const auto hold = Duration(static_cast<std::int64_t>(
         static_cast<double>(flight.request.route->targetLatency.count())
-        * (service(flight).model ? m_settings.holdStreams : m_settings.callWaitShare)));
+        * (service(flight).model ? m_settings.streamWaitShare : m_settings.callWaitShare)));
     const Duration paused = now - flight.progressAt;
     const bool over = flight.passing          ? paused >= m_settings.resumeTimeout
                       : !flight.ranAt.empty() ? paused >= m_settings.rerunTimeout
