--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -273,7 +273,7 @@
      "return ran < flight.request.route->maxAttempts;", "return ran < 1000;",
      "relay_test: a request runs at no more endpoints than its route allows"),
     ("time not lived through", "src/libbalsamloft/relaywatch.cpp",
-     "if (m_lastTick != Time {} && lost > m_settings.pauseLived)", "if (false)",
+     "if (m_lastTick != Time {} && lost > m_settings.maxTickGap)", "if (false)",
      "relay_test: time that the process did not live through is charged to nobody"),
     ("asked before whole requests leave", "src/libbalsamloft/relay.cpp",
      "return endpoint && !endpoint->draining;", "return true;",
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -173,7 +173,7 @@
     Duration callAttemptTimeout {400'000}; ///< an idempotent call is then tried elsewhere
     double callWaitShare = 0.12; ///< share of the target latency that a call waits for an endpoint
     double streamWaitShare = 1.6; ///< the same for a stream that waits for a path
-    Duration pauseLived {300'000}; ///< a longer time between ticks was not lived through
+    Duration maxTickGap {300'000}; ///< a longer time between ticks was not lived through
     Duration comeBack {700'000}; ///< told to those that are refused
     std::uint32_t sparesSends = 2; ///< sends beyond the attempts, after proof that nothing ran
     /// A request that passes events for so long on one endpoint does not end endpoints
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -78,7 +78,7 @@
 void Relay::forgiveLostTime(Time now)
 {
     const Duration lost = now - m_lastTick;
-    if (m_lastTick != Time {} && lost > m_settings.pauseLived)
+    if (m_lastTick != Time {} && lost > m_settings.maxTickGap)
         for (auto &[id, flight] : m_flights) {
             flight.sentAt += std::min(lost, now - flight.sentAt);
             flight.progressAt += std::min(lost, now - flight.progressAt);
