--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -174,7 +174,7 @@
     double callWaitShare = 0.12; ///< share of the target latency that a call waits for an endpoint
     double streamWaitShare = 1.6; ///< the same for a stream that waits for a path
     Duration maxTickGap {300'000}; ///< a longer time between ticks was not lived through
-    Duration comeBack {700'000}; ///< told to those that are refused
+    Duration retryAfter {700'000}; ///< told to those that are refused
     std::uint32_t sparesSends = 2; ///< sends beyond the attempts, after proof that nothing ran
     /// A request that passes events for so long on one endpoint does not end endpoints
     /// by being run.
@@ -383,7 +383,7 @@
     /// How a flight that is given up now ends; \a ran: where it may have run.
     static FlightOutcome endOf(const Flight &flight, FlightOutcome ran);
     void end(FlightId id, FlightOutcome how, std::string reason, RelayActions &actions,
-             std::optional<Duration> comeBack = {});
+             std::optional<Duration> retryAfter = {});
     void noteLimit(const Flight &flight, const AnswerHead &head, Time now);
     void rejected(FlightId id, Flight &flight, const AnswerHead &head, Time now,
                   RelayActions &actions);
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -410,7 +410,7 @@
 }
 
 void Relay::end(FlightId id, FlightOutcome how, std::string reason, RelayActions &actions,
-                std::optional<Duration> comeBack)
+                std::optional<Duration> retryAfter)
 {
     const auto it = m_flights.find(id);
     if (it == m_flights.end())
@@ -420,8 +420,8 @@
     if (how == FlightOutcome::NotRun) {
         // Spread, so that those refused together do not come back together.
         std::uniform_real_distribution<double> spread(0.6, 1.4);
-        wait = comeBack.value_or(
-            Duration(static_cast<std::int64_t>(m_settings.comeBack.count() * spread(m_random))));
+        wait = retryAfter.value_or(
+            Duration(static_cast<std::int64_t>(m_settings.retryAfter.count() * spread(m_random))));
     }
     std::uint64_t RelayCounts::*const counters[] = {&RelayCounts::notRun, &RelayCounts::failed,
                                                     &RelayCounts::timedOut, &RelayCounts::truncated};
