--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -175,7 +175,7 @@
     double streamWaitShare = 1.6; ///< the same for a stream that waits for a path
     Duration maxTickGap {300'000}; ///< a longer time between ticks was not lived through
     Duration retryAfter {700'000}; ///< told to those that are refused
-    std::uint32_t sparesSends = 2; ///< sends beyond the attempts, after proof that nothing ran
+    std::uint32_t extraSends = 2; ///< sends beyond the attempts, after proof that nothing ran
     /// A request that passes events for so long on one endpoint does not end endpoints
     /// by being run.
     Duration runsWell {1'000'000};
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -363,7 +363,7 @@
 bool Relay::sentOftenEnough(const Flight &flight) const
 {
     return !flight.passing
-           && flight.sends >= flight.request.route->maxAttempts + m_settings.sparesSends;
+           && flight.sends >= flight.request.route->maxAttempts + m_settings.extraSends;
 }
 
 /// Engines without room reject one new request after another, and these would spend
