--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -179,7 +179,7 @@
     /// A request that passes events for so long on one endpoint does not end endpoints
     /// by being run.
     Duration runsWell {1'000'000};
-    Duration askTrialAgain {200'000}; ///< after an endpoint that was taken
+    Duration trialRetryInterval {200'000}; ///< after an endpoint that was taken
     /// Spread of choices for requests that an endpoint's end cut: together on the next
     /// endpoint, none could be told from the one that ends endpoints.
     double scatter = 1;
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -124,7 +124,7 @@
     flight.repeatOwed = flight.sends > 0;
     if (trial.state == Trial::State::Asked)
         return true;
-    if (!trial.taken.empty() && now - trial.askedAt < m_settings.askTrialAgain)
+    if (!trial.taken.empty() && now - trial.askedAt < m_settings.trialRetryInterval)
         return true;
     SendRequest send;
     trial.state = Trial::State::None;
