--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -182,7 +182,7 @@
     Duration trialRetryInterval {200'000}; ///< after an endpoint that was taken
     /// Spread of choices for requests that an endpoint's end cut: together on the next
     /// endpoint, none could be told from the one that ends endpoints.
-    double scatter = 1;
+    double rerouteSpread = 1;
     std::uint64_t seed = 1;
 };
 
