--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -147,7 +147,7 @@
      "answer.reply.version < m_reached", "false",
      "tablefollower_test: a table is not read anew from one that knows less than was known"),
     ("repeats for streams that have begun", "src/libbalsamloft/relay.cpp",
-     "yields ? m_settings.keptForBegun : 0", "0",
+     "yields ? m_settings.streamReserve : 0", "0",
      "relay_test: new requests leave repeats for streams that have begun"),
     ("given up only with another path", "src/libbalsamloft/relaywatch.cpp",
      "return path && !path->full;", "return true;",
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -156,7 +156,7 @@
     double retryRatio = 0.15; ///< repeats for each request of this instance
     double retrySlack = 20; ///< repeats beyond that in a window, all instances together
     Duration retryWindow {10'000'000}; ///< the window
-    double keptForBegun = 0.5; ///< share of the slack for streams that have begun
+    double streamReserve = 0.5; ///< share of the slack for streams that have begun
     Duration queryAfterPause {250'000}; ///< shortest pause after which an engine is asked
     double queryAfterGaps = 4; ///< or so many expected pauses
     Duration queryInterval {350'000}; ///< between two questions to one engine
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -373,7 +373,7 @@
 {
     const bool begun = flight.passing || !flight.ranAt.empty();
     const bool yields = service(flight).model && !begun;
-    return budget(flight).withdraw(now, yields ? m_settings.keptForBegun : 0);
+    return budget(flight).withdraw(now, yields ? m_settings.streamReserve : 0);
 }
 
 void Relay::again(FlightId id, Flight &flight, bool ran, const std::string &culprit,
