--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -409,7 +409,7 @@
     sample("requests_timed_out_total", counts.timedOut);
     sample("streams_cut_short_total", counts.truncated);
     sample("requests_resent_total", counts.resent);
-    sample("retry_budget_spent_total", counts.budgetSpent);
+    sample("retry_budget_spent_total", counts.budgetExhausted);
     sample("paths_changed_total", counts.pathsChanged);
     sample("crashes_under_requests_total", counts.crashes);
     sample("requests_held_back_total", counts.heldBack);
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -196,7 +196,7 @@
     std::uint64_t timedOut = 0;
     std::uint64_t truncated = 0;
     std::uint64_t resent = 0;
-    std::uint64_t budgetSpent = 0;
+    std::uint64_t budgetExhausted = 0;
     std::uint64_t pathsChanged = 0;
     std::uint64_t crashes = 0; ///< ends of endpoints under requests that were told to others
     std::uint64_t heldBack = 0; ///< requests that were not sent, or not again
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -395,7 +395,7 @@
     if (holdBack(id, flight, now, actions))
         return;
     if (!payRepeat(flight, now)) {
-        m_counts.budgetSpent += 1;
+        m_counts.budgetExhausted += 1;
         reason += "; no budget to send it again";
         if (!flight.passing)
             return end(id, how, std::move(reason), actions);
