--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -412,7 +412,7 @@
     sample("retry_budget_spent_total", counts.budgetExhausted);
     sample("paths_changed_total", counts.pathsChanged);
     sample("crashes_under_requests_total", counts.crashes);
-    sample("requests_held_back_total", counts.heldBack);
+    sample("requests_held_back_total", counts.quarantined);
     sample("contents_suspected", m_relay.quarantine().suspected());
     sample("contents_held", m_relay.quarantine().heldCount(steadyNow()));
     sample("endpoints_with_rate_limit", m_relay.rateLimits().size());
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -582,7 +582,7 @@
     Caller caller = it->second;
     m_callers[instance].erase(it);
     if (!caller.crashing && end.reason.starts_with("held back"))
-        m_harmless.heldBack += 1;
+        m_harmless.quarantined += 1;
     if (end.end != FlightOutcome::Truncated && caller.retries > 0) {
         caller.retries -= 1;
         after(std::max(end.retryAfter, Duration(20'000)),
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -88,7 +88,7 @@
         std::size_t refused = 0;
         std::size_t broken = 0; ///< failed, or cut in the middle
         std::size_t gone = 0; ///< their callers left
-        std::size_t heldBack = 0; ///< taken for one that ends engines
+        std::size_t quarantined = 0; ///< taken for one that ends engines
     };
     const Harmless &harmless() const { return m_harmless; }
 
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -51,7 +51,7 @@
     const std::size_t tries = world.sendsAfterThirdEnd(KnownEverywhere);
     CHECK(tries <= MostLateSends);
     CHECK(world.ends().size() <= MostEnds + tries);
-    CHECK(world.harmless().heldBack == 0);
+    CHECK(world.harmless().quarantined == 0);
 }
 
 } // namespace
@@ -137,7 +137,7 @@
     world.run(seconds(35));
     INFO(settings.instances << " instances, " << world.ends().size() << " ends");
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) <= MostLateSends);
-    CHECK(world.harmless().heldBack == 0);
+    CHECK(world.harmless().quarantined == 0);
     CHECK(world.waits().size() == 5);
 }
 
@@ -180,7 +180,7 @@
     CrashWorld world(settings);
     world.run(seconds(30));
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
-    CHECK(world.harmless().heldBack == 0);
+    CHECK(world.harmless().quarantined == 0);
 }
 
 // Guards against a domain without the store, where each instance learns by its own ends alone.
@@ -234,7 +234,7 @@
         world.run(seconds(1));
         world.endAnyEngine();
     }
-    CHECK(world.harmless().heldBack == 0);
+    CHECK(world.harmless().quarantined == 0);
     CHECK(world.harmless().refused == 0);
 }
 
@@ -252,7 +252,7 @@
     world.run(seconds(40));
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
     CHECK(world.ends().size() <= MostEnds);
-    CHECK(world.harmless().heldBack == 0);
+    CHECK(world.harmless().quarantined == 0);
 }
 
 // Guards against an endpoint that ends after the request was given up, and breaks nothing off.
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -185,7 +185,7 @@
     const bool held = m_quarantine.verdict(flight.request.digest, now) == Verdict::Held;
     std::uniform_int_distribution<std::int64_t> spread(0,
                                                        m_quarantine.settings().settleAfter.count());
-    m_counts.heldBack += 1;
+    m_counts.quarantined += 1;
     end(id, endOf(flight, FlightOutcome::Failed),
         held ? "held back: endpoints ended under it" : "endpoints ended under it; not tried now",
         actions, wait + Duration(spread(m_random)));
