--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -416,7 +416,7 @@
     sample("contents_suspected", m_relay.quarantine().suspected());
     sample("contents_held", m_relay.quarantine().heldCount(steadyNow()));
     sample("endpoints_with_rate_limit", m_relay.rateLimits().size());
-    sample("endpoints_passed_over_total", counts.passedOver);
+    sample("endpoints_passed_over_total", counts.rateLimitSkips);
     sample("requests_open", m_relay.flights());
     sample("caller_connections", m_sessions.size());
     sample("endpoint_connections_opened_total", m_pool.opened);
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -200,7 +200,7 @@
     std::uint64_t pathsChanged = 0;
     std::uint64_t crashes = 0; ///< ends of endpoints under requests that were told to others
     std::uint64_t quarantined = 0; ///< requests that were not sent, or not again
-    std::uint64_t passedOver = 0; ///< choices that left an endpoint out for its rate limit
+    std::uint64_t rateLimitSkips = 0; ///< choices that left an endpoint out for its rate limit
 };
 
 /// The state machine of all whole requests of one instance. No I/O: events and
--- a/src/libbalsamloft/ratelimits_test.cpp
+++ b/src/libbalsamloft/ratelimits_test.cpp
@@ -466,7 +466,7 @@
     head.rateLimit = 0.1;
     world.relay.answered(call, world.sends(call).front().attempt, head, world.now, world.actions);
     world.submit(RequestKind::Stream);
-    CHECK(world.relay.counts().passedOver == 0);
+    CHECK(world.relay.counts().rateLimitSkips == 0);
     world.submit(RequestKind::Unsafe);
-    CHECK(world.relay.counts().passedOver == 1);
+    CHECK(world.relay.counts().rateLimitSkips == 1);
 }
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -134,7 +134,7 @@
         const FleetEndpoint *endpoint = m_fleet->find(id);
         return !endpoint || endpoint->service != service(flight).name;
     });
-    m_counts.passedOver += closed.empty() ? 0 : 1;
+    m_counts.rateLimitSkips += closed.empty() ? 0 : 1;
     return closed;
 }
 
