--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -327,7 +327,7 @@
 {
     const std::size_t count = crashes(digest, now);
     if (count == 0)
-        return Verdict::Free;
+        return Verdict::Allowed;
     if (unsettledFor(digest, now) > Duration {})
         return Verdict::Unsettled;
     const Crashes &under = m_requests.at(digest);
@@ -335,13 +335,13 @@
         return Verdict::Held;
     const bool suspect = count >= m_settings.crashesToTry
                          || (seenByOthers(under, now) && !cameThroughBefore(digest, under));
-    return suspect ? Verdict::ByTrial : Verdict::Free;
+    return suspect ? Verdict::ByTrial : Verdict::Allowed;
 }
 
 Duration Quarantine::heldFor(const std::string &digest, Time now) const
 {
     switch (verdict(digest, now)) {
-    case Verdict::Free:
+    case Verdict::Allowed:
     case Verdict::ByTrial:
         return {};
     case Verdict::Unsettled:
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -315,7 +315,7 @@
             if (pick(4) == 0 && m_othersLeft-- > 0)
                 end(pick(Endpoints), "", 0);
             const std::size_t instance = pick(Instances);
-            for (int attempt = 0; attempt < 2 && verdict(instance, "guilty") == Verdict::Free;
+            for (int attempt = 0; attempt < 2 && verdict(instance, "guilty") == Verdict::Allowed;
                  ++attempt)
                 end(pick(Endpoints), "guilty", instance);
             if (verdict(instance, "guilty") == Verdict::ByTrial)
@@ -402,7 +402,7 @@
     void comeAgain(Request &request)
     {
         const Verdict found = verdict(request.instance, request.digest);
-        if (found == Verdict::Free)
+        if (found == Verdict::Allowed)
             request.endpoint = pick(Endpoints);
         if (found == Verdict::ByTrial)
             request.endpoint = withoutTrial();
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -47,7 +47,7 @@
     const std::string &digest = flight.request.digest;
     return !flight.runsWell
            && (m_quarantine.undecided(digest, now)
-               || m_quarantine.verdict(digest, now) != Verdict::Free);
+               || m_quarantine.verdict(digest, now) != Verdict::Allowed);
 }
 
 void Relay::noteProgress(Flight &flight, Time now, RelayActions &actions)
@@ -92,7 +92,7 @@
         return true;
     }
     switch (m_quarantine.verdict(digest, now)) {
-    case Verdict::Free:
+    case Verdict::Allowed:
         return false;
     case Verdict::ByTrial:
         return awaitTrial(id, flight, now, actions);
@@ -111,7 +111,7 @@
         return true;
     const bool permitted = flight.trial.state >= Trial::State::Granted && now < flight.trial.until;
     const Verdict verdict = m_quarantine.verdict(flight.request.digest, now);
-    return verdict == Verdict::Free || (verdict == Verdict::ByTrial && permitted);
+    return verdict == Verdict::Allowed || (verdict == Verdict::ByTrial && permitted);
 }
 
 /// Asks for the permit to run the request at the endpoint that would be chosen now.
