--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -36,7 +36,7 @@
 /// Whether a request may be sent to endpoints.
 enum class Verdict : std::uint8_t {
     Allowed,
-    ByTrial, ///< only as the one try that the whole fleet permits, see TrialPermits
+    TrialOnly, ///< only as the one try that the whole fleet permits, see TrialPermits
     Unsettled, ///< not now: the ends of endpoints under it may have another cause
     Held,
 };
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -335,14 +335,14 @@
         return Verdict::Held;
     const bool suspect = count >= m_settings.crashesToTry
                          || (seenByOthers(under, now) && !cameThroughBefore(digest, under));
-    return suspect ? Verdict::ByTrial : Verdict::Allowed;
+    return suspect ? Verdict::TrialOnly : Verdict::Allowed;
 }
 
 Duration Quarantine::heldFor(const std::string &digest, Time now) const
 {
     switch (verdict(digest, now)) {
     case Verdict::Allowed:
-    case Verdict::ByTrial:
+    case Verdict::TrialOnly:
         return {};
     case Verdict::Unsettled:
         return unsettledFor(digest, now);
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -129,8 +129,8 @@
     CHECK(quarantine.heldFor("beside", Start) == seconds(2));
     quarantine.learn({{"bad", "e1", Start}, {"bad", "e2", Start}, {"bad", "e3", Start}});
     CHECK(quarantine.verdict("beside", Start + seconds(1)) == Verdict::Unsettled);
-    CHECK(quarantine.verdict("beside", Start + seconds(2)) == Verdict::ByTrial);
-    CHECK(quarantine.verdict("beside", Start + seconds(10)) == Verdict::ByTrial);
+    CHECK(quarantine.verdict("beside", Start + seconds(2)) == Verdict::TrialOnly);
+    CHECK(quarantine.verdict("beside", Start + seconds(10)) == Verdict::TrialOnly);
 }
 
 TEST_CASE("two requests that cannot be told apart are both held in the end")
@@ -175,7 +175,7 @@
     for (const char *endpoint : {"e1", "e2", "e3"})
         endUnder(quarantine, endpoint, {"popular"});
     CHECK_FALSE(held(quarantine, "popular"));
-    CHECK(quarantine.verdict("popular", Start + seconds(10)) == Verdict::ByTrial);
+    CHECK(quarantine.verdict("popular", Start + seconds(10)) == Verdict::TrialOnly);
     endUnder(quarantine, "e4", {"popular"});
     endUnder(quarantine, "e5", {"popular"});
     CHECK(held(quarantine, "popular"));
@@ -318,7 +318,7 @@
             for (int attempt = 0; attempt < 2 && verdict(instance, "guilty") == Verdict::Allowed;
                  ++attempt)
                 end(pick(Endpoints), "guilty", instance);
-            if (verdict(instance, "guilty") == Verdict::ByTrial)
+            if (verdict(instance, "guilty") == Verdict::TrialOnly)
                 end(withoutTrial(), "guilty", instance);
             for (Request &each : m_harmless)
                 advance(each);
@@ -404,9 +404,9 @@
         const Verdict found = verdict(request.instance, request.digest);
         if (found == Verdict::Allowed)
             request.endpoint = pick(Endpoints);
-        if (found == Verdict::ByTrial)
+        if (found == Verdict::TrialOnly)
             request.endpoint = withoutTrial();
-        request.onTrial = found == Verdict::ByTrial && request.endpoint != Nowhere;
+        request.onTrial = found == Verdict::TrialOnly && request.endpoint != Nowhere;
         request.over = found == Verdict::Held;
         m_result.harmlessHeld += request.over ? 1 : 0;
     }
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -94,7 +94,7 @@
     switch (m_quarantine.verdict(digest, now)) {
     case Verdict::Allowed:
         return false;
-    case Verdict::ByTrial:
+    case Verdict::TrialOnly:
         return awaitTrial(id, flight, now, actions);
     case Verdict::Unsettled:
     case Verdict::Held:
@@ -111,7 +111,7 @@
         return true;
     const bool permitted = flight.trial.state >= Trial::State::Granted && now < flight.trial.until;
     const Verdict verdict = m_quarantine.verdict(flight.request.digest, now);
-    return verdict == Verdict::Allowed || (verdict == Verdict::ByTrial && permitted);
+    return verdict == Verdict::Allowed || (verdict == Verdict::TrialOnly && permitted);
 }
 
 /// Asks for the permit to run the request at the endpoint that would be chosen now.
@@ -199,7 +199,7 @@
         return false;
     const std::string &digest = flight.request.digest;
     const bool begun = flight.firstEventAt.has_value();
-    if (m_quarantine.verdict(digest, now) == Verdict::ByTrial
+    if (m_quarantine.verdict(digest, now) == Verdict::TrialOnly
         && flight.trial.state != Trial::State::Sent
         && (begun || m_quarantine.crashes(digest, now) < m_quarantine.settings().crashesToTry))
         return false;
