--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -37,7 +37,7 @@
 enum class Verdict : std::uint8_t {
     Allowed,
     TrialOnly, ///< only as the one try that the whole fleet permits, see TrialPermits
-    Unsettled, ///< not now: the ends of endpoints under it may have another cause
+    Deferred, ///< not now: the ends of endpoints under it may have another cause
     Held,
 };
 
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -329,7 +329,7 @@
     if (count == 0)
         return Verdict::Allowed;
     if (unsettledFor(digest, now) > Duration {})
-        return Verdict::Unsettled;
+        return Verdict::Deferred;
     const Crashes &under = m_requests.at(digest);
     if (count >= m_settings.crashesToHold && guilty(digest, under, now))
         return Verdict::Held;
@@ -344,7 +344,7 @@
     case Verdict::Allowed:
     case Verdict::TrialOnly:
         return {};
-    case Verdict::Unsettled:
+    case Verdict::Deferred:
         return unsettledFor(digest, now);
     case Verdict::Held:
         break;
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -125,10 +125,10 @@
     Quarantine quarantine;
     for (const char *endpoint : {"e1", "e2", "e3"})
         endUnder(quarantine, endpoint, {"beside"});
-    CHECK(quarantine.verdict("beside", Start) == Verdict::Unsettled);
+    CHECK(quarantine.verdict("beside", Start) == Verdict::Deferred);
     CHECK(quarantine.heldFor("beside", Start) == seconds(2));
     quarantine.learn({{"bad", "e1", Start}, {"bad", "e2", Start}, {"bad", "e3", Start}});
-    CHECK(quarantine.verdict("beside", Start + seconds(1)) == Verdict::Unsettled);
+    CHECK(quarantine.verdict("beside", Start + seconds(1)) == Verdict::Deferred);
     CHECK(quarantine.verdict("beside", Start + seconds(2)) == Verdict::TrialOnly);
     CHECK(quarantine.verdict("beside", Start + seconds(10)) == Verdict::TrialOnly);
 }
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -96,7 +96,7 @@
         return false;
     case Verdict::TrialOnly:
         return awaitTrial(id, flight, now, actions);
-    case Verdict::Unsettled:
+    case Verdict::Deferred:
     case Verdict::Held:
         break;
     }
