--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -38,7 +38,7 @@
     Allowed,
     TrialOnly, ///< only as the one try that the whole fleet permits, see TrialPermits
     Deferred, ///< not now: the ends of endpoints under it may have another cause
-    Held,
+    Quarantined,
 };
 
 /// Settings of a Quarantine.
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -332,7 +332,7 @@
         return Verdict::Deferred;
     const Crashes &under = m_requests.at(digest);
     if (count >= m_settings.crashesToHold && guilty(digest, under, now))
-        return Verdict::Held;
+        return Verdict::Quarantined;
     const bool suspect = count >= m_settings.crashesToTry
                          || (seenByOthers(under, now) && !cameThroughBefore(digest, under));
     return suspect ? Verdict::TrialOnly : Verdict::Allowed;
@@ -346,7 +346,7 @@
         return {};
     case Verdict::Deferred:
         return unsettledFor(digest, now);
-    case Verdict::Held:
+    case Verdict::Quarantined:
         break;
     }
     return lastEnd(digest) + m_settings.keptFor - now;
@@ -368,7 +368,7 @@
 {
     return static_cast<std::size_t>(
         std::count_if(m_requests.begin(), m_requests.end(),
-                      [&](const auto &each) { return verdict(each.first, now) == Verdict::Held; }));
+                      [&](const auto &each) { return verdict(each.first, now) == Verdict::Quarantined; }));
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -25,7 +25,7 @@
 
 bool held(const Quarantine &quarantine, const std::string &digest, Time at = Start + seconds(2))
 {
-    return quarantine.verdict(digest, at) == Verdict::Held;
+    return quarantine.verdict(digest, at) == Verdict::Quarantined;
 }
 
 } // namespace
@@ -407,7 +407,7 @@
         if (found == Verdict::TrialOnly)
             request.endpoint = withoutTrial();
         request.onTrial = found == Verdict::TrialOnly && request.endpoint != Nowhere;
-        request.over = found == Verdict::Held;
+        request.over = found == Verdict::Quarantined;
         m_result.harmlessHeld += request.over ? 1 : 0;
     }
 
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -97,7 +97,7 @@
     case Verdict::TrialOnly:
         return awaitTrial(id, flight, now, actions);
     case Verdict::Deferred:
-    case Verdict::Held:
+    case Verdict::Quarantined:
         break;
     }
     endHeld(id, flight, m_quarantine.heldFor(digest, now), now, actions);
@@ -182,7 +182,7 @@
 void Relay::endHeld(FlightId id, const Flight &flight, Duration wait, Time now,
                     RelayActions &actions)
 {
-    const bool held = m_quarantine.verdict(flight.request.digest, now) == Verdict::Held;
+    const bool held = m_quarantine.verdict(flight.request.digest, now) == Verdict::Quarantined;
     std::uniform_int_distribution<std::int64_t> spread(0,
                                                        m_quarantine.settings().settleAfter.count());
     m_counts.quarantined += 1;
