--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -86,7 +86,7 @@
 
     /// \a endpoint broke a run of the request off, early in it. Whether it ended is
     /// not known yet: it has to be asked.
-    void brokenOff(const std::string &digest, const std::string &endpoint, Time now);
+    void attemptBroken(const std::string &digest, const std::string &endpoint, Time now);
 
     /// This instance gave a run of the request up that had not gone well so far. If
     /// \a endpoint had just begun it, it may end all the same.
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -63,7 +63,7 @@
         add(digest, endpoint, crash);
 }
 
-void Quarantine::brokenOff(const std::string &digest, const std::string &endpoint, Time now)
+void Quarantine::attemptBroken(const std::string &digest, const std::string &endpoint, Time now)
 {
     endpointHeard(endpoint, now);
     doubt(digest, endpoint, {now, Stage::Doubtful, Sign::BrokenOff, true, now + Duration(1)});
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -19,7 +19,7 @@
               const std::vector<std::string> &digests, Time now = Start)
 {
     for (const std::string &digest : digests)
-        quarantine.brokenOff(digest, endpoint, now);
+        quarantine.attemptBroken(digest, endpoint, now);
     quarantine.endpointEnded(endpoint, now);
 }
 
@@ -47,7 +47,7 @@
 {
     Quarantine quarantine;
     for (const char *endpoint : {"e1", "e2", "e3", "e4"}) {
-        quarantine.brokenOff("good", endpoint, Start);
+        quarantine.attemptBroken("good", endpoint, Start);
         const Time asked = Start + milliseconds(1);
         CHECK(quarantine.doubtful(asked) == std::vector<std::string> {endpoint});
         quarantine.endpointAnswered(endpoint, asked);
@@ -78,7 +78,7 @@
 {
     Quarantine quarantine;
     quarantine.givenUp("given up", "e1", Start);
-    quarantine.brokenOff("cut", "e1", Start + milliseconds(10));
+    quarantine.attemptBroken("cut", "e1", Start + milliseconds(10));
     quarantine.endpointVanished("e1", Start + seconds(3));
     CHECK(quarantine.crashes("given up", Start + seconds(3)) == 0);
     CHECK(quarantine.crashes("cut", Start + seconds(3)) == 1);
@@ -88,16 +88,16 @@
 TEST_CASE("a request waits while it is open whether a second endpoint ended under it")
 {
     Quarantine quarantine;
-    quarantine.brokenOff("bad", "e1", Start);
+    quarantine.attemptBroken("bad", "e1", Start);
     CHECK_FALSE(quarantine.undecided("bad", Start));
     quarantine.endpointEnded("e1", Start);
-    quarantine.brokenOff("bad", "e2", Start);
+    quarantine.attemptBroken("bad", "e2", Start);
     CHECK(quarantine.undecided("bad", Start));
     quarantine.endpointEnded("e2", Start);
     CHECK_FALSE(quarantine.undecided("bad", Start));
 
-    quarantine.brokenOff("other", "e3", Start);
-    quarantine.brokenOff("other", "e4", Start);
+    quarantine.attemptBroken("other", "e3", Start);
+    quarantine.attemptBroken("other", "e4", Start);
     CHECK(quarantine.undecided("other", Start));
     quarantine.endpointAnswered("e4", Start + milliseconds(1));
     CHECK_FALSE(quarantine.undecided("other", Start + milliseconds(1)));
@@ -371,7 +371,7 @@
     {
         const std::string id = std::to_string(endpoint) + "@" + std::to_string(m_starts++);
         const auto cut = [&](std::size_t instance, const std::string &digest) {
-            m_instances[instance].brokenOff(digest, id, m_now);
+            m_instances[instance].attemptBroken(digest, id, m_now);
             m_instances[instance].endpointEnded(id, m_now);
         };
         if (!guilty.empty()) {
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -14,7 +14,7 @@
     if (flight.runsWell || flight.request.digest.empty() || !endpoint || endpoint->draining)
         return;
     flight.cutEarly = true;
-    m_quarantine.brokenOff(flight.request.digest, flight.endpoint, now);
+    m_quarantine.attemptBroken(flight.request.digest, flight.endpoint, now);
     // A question of a moment ago says nothing about the end that came after it.
     m_askedAt.erase(flight.endpoint);
     ask(flight.endpoint, now, actions);
