--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -91,7 +91,7 @@
      "each.free = each.free && now - since->second >= m_settings.emptyGrace;", "",
      "gapfiller_test: an engine that comes back during a gap is left to the holder of the lease first"),
     ("runs that were given up count", "src/libbalsamloft/relaycrashes.cpp",
-     "m_quarantine.givenUp(flight.request.digest, flight.endpoint, now);", "(void)now;",
+     "m_quarantine.attemptAbandoned(flight.request.digest, flight.endpoint, now);", "(void)now;",
      "crashingrequests_test: a request that is given up as its engine ends is found out"),
     ("an earlier success is no veto", "src/libbalsamloft/quarantine.cpp",
      "return each.second.at - good->second < m_settings.recently;", "return true;",
--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -90,7 +90,7 @@
 
     /// This instance gave a run of the request up that had not gone well so far. If
     /// \a endpoint had just begun it, it may end all the same.
-    void givenUp(const std::string &digest, const std::string &endpoint, Time now);
+    void attemptAbandoned(const std::string &digest, const std::string &endpoint, Time now);
 
     /// A run of the request stands still at \a endpoint in the middle of its path, which
     /// does not answer. It may have ended, or be cut off.
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -69,7 +69,7 @@
     doubt(digest, endpoint, {now, Stage::Doubtful, Sign::BrokenOff, true, now + Duration(1)});
 }
 
-void Quarantine::givenUp(const std::string &digest, const std::string &endpoint, Time now)
+void Quarantine::attemptAbandoned(const std::string &digest, const std::string &endpoint, Time now)
 {
     doubt(digest, endpoint,
           {now, Stage::Doubtful, Sign::GivenUp, true, now + m_settings.endsWithin});
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -60,14 +60,14 @@
 TEST_CASE("an endpoint that ends right after the request was given up ended under it")
 {
     Quarantine quarantine;
-    quarantine.givenUp("bad", "e1", Start);
-    quarantine.givenUp("earlier", "e1", Start - milliseconds(300));
+    quarantine.attemptAbandoned("bad", "e1", Start);
+    quarantine.attemptAbandoned("earlier", "e1", Start - milliseconds(300));
     CHECK(quarantine.doubtful(Start + milliseconds(100)) == std::vector<std::string> {"e1"});
     endUnder(quarantine, "e1", {"beside"}, Start + milliseconds(50));
     CHECK(quarantine.crashes("bad", Start + milliseconds(50)) == 1);
     CHECK(quarantine.crashes("earlier", Start + milliseconds(50)) == 0);
 
-    quarantine.givenUp("bad", "e2", Start);
+    quarantine.attemptAbandoned("bad", "e2", Start);
     quarantine.endpointAnswered("e2", Start + milliseconds(250));
     quarantine.endpointEnded("e2", Start + seconds(1));
     CHECK(quarantine.crashes("bad", Start + seconds(1)) == 1);
@@ -77,7 +77,7 @@
 TEST_CASE("an endpoint that vanishes ended only under what it broke off itself")
 {
     Quarantine quarantine;
-    quarantine.givenUp("given up", "e1", Start);
+    quarantine.attemptAbandoned("given up", "e1", Start);
     quarantine.attemptBroken("cut", "e1", Start + milliseconds(10));
     quarantine.endpointVanished("e1", Start + seconds(3));
     CHECK(quarantine.crashes("given up", Start + seconds(3)) == 0);
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -26,7 +26,7 @@
 {
     const FleetEndpoint *endpoint = m_fleet->find(flight.endpoint);
     if (!flight.runsWell && !flight.request.digest.empty() && endpoint && !endpoint->draining)
-        m_quarantine.givenUp(flight.request.digest, flight.endpoint, now);
+        m_quarantine.attemptAbandoned(flight.request.digest, flight.endpoint, now);
 }
 
 /// An engine in the middle of the path breaks nothing off when it ends: the first one
