--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -60,7 +60,7 @@
      "if (crash.stage == Stage::Doubtful && crash.sign != Sign::BrokenOff)", "if (false)",
      "quarantine_test: an endpoint that vanishes ended only under what it broke off itself"),
     ("a stream that stands still holds its engine in doubt", "src/libbalsamloft/relaycrashes.cpp",
-     "m_quarantine.stalledAt(flight.request.digest, endpoint, now);", "(void)now;",
+     "m_quarantine.attemptStalled(flight.request.digest, endpoint, now);", "(void)now;",
      "crashingrequests_test: a request that ends engines in the middle of its path is found out"),
     ("a stream under suspicion is told no other path", "src/libbalsamloft/relaypath.cpp",
      "|| underSuspicion(flight, now))", ")",
--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -94,7 +94,7 @@
 
     /// A run of the request stands still at \a endpoint in the middle of its path, which
     /// does not answer. It may have ended, or be cut off.
-    void stalledAt(const std::string &digest, const std::string &endpoint, Time now);
+    void attemptStalled(const std::string &digest, const std::string &endpoint, Time now);
 
     /// \a endpoint answered a question that was sent at \a asked: it ended under nothing
     /// before.
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -75,7 +75,7 @@
           {now, Stage::Doubtful, Sign::GivenUp, true, now + m_settings.endsWithin});
 }
 
-void Quarantine::stalledAt(const std::string &digest, const std::string &endpoint, Time now)
+void Quarantine::attemptStalled(const std::string &digest, const std::string &endpoint, Time now)
 {
     doubt(digest, endpoint, {now, Stage::Doubtful, Sign::Stalled, true, now + Duration(1)});
 }
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -38,7 +38,7 @@
         || endpoint == flight.endpoint || !found || found->draining)
         return;
     flight.cutEarly = true;
-    m_quarantine.stalledAt(flight.request.digest, endpoint, now);
+    m_quarantine.attemptStalled(flight.request.digest, endpoint, now);
 }
 
 /// Whether the flight may not be brought to another endpoint as if it were harmless.
