--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -102,7 +102,7 @@
 
     /// Bytes of \a endpoint were read. Those that it sent before it ended may be read
     /// after it broke another run off, so they say nothing of that one.
-    void endpointHeard(const std::string &endpoint, Time now);
+    void endpointSentData(const std::string &endpoint, Time now);
 
     /// The process of \a endpoint is surely gone.
     void endpointEnded(const std::string &endpoint, Time now);
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -65,7 +65,7 @@
 
 void Quarantine::attemptBroken(const std::string &digest, const std::string &endpoint, Time now)
 {
-    endpointHeard(endpoint, now);
+    endpointSentData(endpoint, now);
     doubt(digest, endpoint, {now, Stage::Doubtful, Sign::BrokenOff, true, now + Duration(1)});
 }
 
@@ -98,7 +98,7 @@
     clearDoubts(endpoint, asked, true);
 }
 
-void Quarantine::endpointHeard(const std::string &endpoint, Time now)
+void Quarantine::endpointSentData(const std::string &endpoint, Time now)
 {
     clearDoubts(endpoint, now, false);
 }
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -490,7 +490,7 @@
     if (!flight)
         return false;
     m_book.cleared(flight->endpoint, now);
-    m_quarantine.endpointHeard(flight->endpoint, now);
+    m_quarantine.endpointSentData(flight->endpoint, now);
     noteLimit(*flight, head, now);
     if (head.running && !flight->path.empty())
         m_book.loadSeen(flight->endpoint, flight->domain, *head.running);
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -52,7 +52,7 @@
 
 void Relay::noteProgress(Flight &flight, Time now, RelayActions &actions)
 {
-    m_quarantine.endpointHeard(flight.endpoint, now);
+    m_quarantine.endpointSentData(flight.endpoint, now);
     if (!flight.firstEventAt)
         flight.firstEventAt = now;
     if (flight.runsWell || now - *flight.firstEventAt < m_settings.runsWell)
