--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -105,7 +105,7 @@
     void endpointSentData(const std::string &endpoint, Time now);
 
     /// The process of \a endpoint is surely gone.
-    void endpointEnded(const std::string &endpoint, Time now);
+    void endpointCrashed(const std::string &endpoint, Time now);
 
     /// \a endpoint answered nobody as of \a at, by the word of the reader of its domain,
     /// which hears the endpoints beside it.
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -116,7 +116,7 @@
     }
 }
 
-void Quarantine::endpointEnded(const std::string &endpoint, Time now)
+void Quarantine::endpointCrashed(const std::string &endpoint, Time now)
 {
     settle(endpoint, now, Time::max());
 }
@@ -136,7 +136,7 @@
         if (crash.stage == Stage::Doubtful && crash.sign != Sign::BrokenOff)
             forget(digest, endpoint);
     }
-    endpointEnded(endpoint, now);
+    endpointCrashed(endpoint, now);
 }
 
 void Quarantine::cameThrough(const std::string &digest, Time now)
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -20,7 +20,7 @@
 {
     for (const std::string &digest : digests)
         quarantine.attemptBroken(digest, endpoint, now);
-    quarantine.endpointEnded(endpoint, now);
+    quarantine.endpointCrashed(endpoint, now);
 }
 
 bool held(const Quarantine &quarantine, const std::string &digest, Time at = Start + seconds(2))
@@ -69,7 +69,7 @@
 
     quarantine.attemptAbandoned("bad", "e2", Start);
     quarantine.endpointAnswered("e2", Start + milliseconds(250));
-    quarantine.endpointEnded("e2", Start + seconds(1));
+    quarantine.endpointCrashed("e2", Start + seconds(1));
     CHECK(quarantine.crashes("bad", Start + seconds(1)) == 1);
 }
 
@@ -90,10 +90,10 @@
     Quarantine quarantine;
     quarantine.attemptBroken("bad", "e1", Start);
     CHECK_FALSE(quarantine.undecided("bad", Start));
-    quarantine.endpointEnded("e1", Start);
+    quarantine.endpointCrashed("e1", Start);
     quarantine.attemptBroken("bad", "e2", Start);
     CHECK(quarantine.undecided("bad", Start));
-    quarantine.endpointEnded("e2", Start);
+    quarantine.endpointCrashed("e2", Start);
     CHECK_FALSE(quarantine.undecided("bad", Start));
 
     quarantine.attemptBroken("other", "e3", Start);
@@ -372,7 +372,7 @@
         const std::string id = std::to_string(endpoint) + "@" + std::to_string(m_starts++);
         const auto cut = [&](std::size_t instance, const std::string &digest) {
             m_instances[instance].attemptBroken(digest, id, m_now);
-            m_instances[instance].endpointEnded(id, m_now);
+            m_instances[instance].endpointCrashed(id, m_now);
         };
         if (!guilty.empty()) {
             cut(guiltyAt, guilty);
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -59,7 +59,7 @@
 {
     m_book.suspect(endpoint, now);
     if (refused)
-        m_quarantine.endpointEnded(endpoint, now);
+        m_quarantine.endpointCrashed(endpoint, now);
     tick(now, actions);
 }
 
