--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -69,7 +69,7 @@
      "if (flight.runsWell || flight.firstEventAt ||", "if (flight.runsWell ||",
      "crashingrequests_test: an engine in the middle that passed events of a stream on did not end under it"),
     ("a domain's word of silence counts", "src/libbalsamloft/relaywatch.cpp",
-     "m_quarantine.endpointSilent(state.id, state.at);", "(void)now;",
+     "m_quarantine.endpointUnresponsive(state.id, state.at);", "(void)now;",
      "crashingrequests_test: a request that hangs its engines is found out"),
     ("old news of silence shut nothing out", "src/libbalsamloft/enginetracker.cpp",
      "if (state.at > each.heardAt)", "if (true)",
--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -109,7 +109,7 @@
 
     /// \a endpoint answered nobody as of \a at, by the word of the reader of its domain,
     /// which hears the endpoints beside it.
-    void endpointSilent(const std::string &endpoint, Time at);
+    void endpointUnresponsive(const std::string &endpoint, Time at);
 
     /// \a endpoint is no longer listed, which it may also be since it is cut off: only
     /// what it broke off itself tells that it ended.
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -121,7 +121,7 @@
     settle(endpoint, now, Time::max());
 }
 
-void Quarantine::endpointSilent(const std::string &endpoint, Time at)
+void Quarantine::endpointUnresponsive(const std::string &endpoint, Time at)
 {
     settle(endpoint, at, at);
 }
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -47,7 +47,7 @@
             continue;
         m_book.reported(state, now);
         if (state.silent)
-            m_quarantine.endpointSilent(state.id, state.at);
+            m_quarantine.endpointUnresponsive(state.id, state.at);
     }
     for (const FleetEndpoint &each : m_fleet->endpoints)
         if (const auto asOf = reports.asOf.find(each.domain); asOf != reports.asOf.end())
