--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -113,7 +113,7 @@
 
     /// \a endpoint is no longer listed, which it may also be since it is cut off: only
     /// what it broke off itself tells that it ended.
-    void endpointVanished(const std::string &endpoint, Time now);
+    void endpointDelisted(const std::string &endpoint, Time now);
 
     /// The request ran well: whatever ended endpoints so far, it was not this one. Later
     /// it may all the same: endpoints change, and their software.
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -126,7 +126,7 @@
     settle(endpoint, at, at);
 }
 
-void Quarantine::endpointVanished(const std::string &endpoint, Time now)
+void Quarantine::endpointDelisted(const std::string &endpoint, Time now)
 {
     const auto on = m_onEndpoint.find(endpoint);
     if (on == m_onEndpoint.end())
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -79,7 +79,7 @@
     Quarantine quarantine;
     quarantine.attemptAbandoned("given up", "e1", Start);
     quarantine.attemptBroken("cut", "e1", Start + milliseconds(10));
-    quarantine.endpointVanished("e1", Start + seconds(3));
+    quarantine.endpointDelisted("e1", Start + seconds(3));
     CHECK(quarantine.crashes("given up", Start + seconds(3)) == 0);
     CHECK(quarantine.crashes("cut", Start + seconds(3)) == 1);
 }
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -69,7 +69,7 @@
     for (const std::string &id : m_quarantine.doubtful(now)) {
         const FleetEndpoint *endpoint = m_fleet->find(id);
         if (!endpoint)
-            m_quarantine.endpointVanished(id, now);
+            m_quarantine.endpointDelisted(id, now);
         else if (endpoint->draining)
             m_quarantine.endpointAnswered(id, now);
     }
