--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -207,7 +207,7 @@
     m_questions.erase(endpoint);
     RelayActions actions;
     if (outcome.left)
-        m_relay.aliveSeen(endpoint, askedAt);
+        m_relay.endpointAnswered(endpoint, askedAt);
     else
         m_relay.queryFailed(endpoint, steadyNow(), actions, outcome.refused);
     run(std::move(actions));
@@ -255,7 +255,7 @@
         if (gone)
             m_relay.queryFailed(endpoint, steadyNow(), actions, outcome.refused || replaced);
         else
-            m_relay.aliveSeen(endpoint, askedAt);
+            m_relay.endpointAnswered(endpoint, askedAt);
         if (gone && m_engineSilent)
             m_engineSilent(endpoint);
         return run(std::move(actions));
@@ -267,7 +267,7 @@
                 {{"endpoint", std::string_view(endpoint)},
                  {"pace", report->pace},
                  {"stalled_at", std::string_view(stalled)}});
-    m_relay.aliveSeen(endpoint, askedAt);
+    m_relay.endpointAnswered(endpoint, askedAt);
     m_relay.reported(endpoint, report->stalledAt, report->pace, steadyNow(), actions);
     run(std::move(actions));
 }
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -607,7 +607,7 @@
             if (m_engines[engine].ended)
                 relay.queryFailed(endpoint, m_now, actions, true);
             else {
-                relay.aliveSeen(endpoint, asked);
+                relay.endpointAnswered(endpoint, asked);
                 relay.reported(endpoint, stalledAt(engine), 1, m_now, actions);
             }
         });
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -244,7 +244,7 @@
                       bool refused = false);
 
     /// The endpoint answered a question that was sent at \a asked, whatever it said.
-    void aliveSeen(const std::string &endpoint, Time asked)
+    void endpointAnswered(const std::string &endpoint, Time asked)
     {
         m_quarantine.endpointAnswered(endpoint, asked);
     }
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -279,7 +279,7 @@
     world.pass(milliseconds(1));
     world.events(other, 1);
     world.relay.reported("e1", {}, 1, world.now, world.actions);
-    world.relay.aliveSeen("e1", world.now - milliseconds(50));
+    world.relay.endpointAnswered("e1", world.now - milliseconds(50));
     world.fail(other, AttemptFailure::InvalidAnswer);
     world.relay.queryFailed("e1", world.now, world.actions, true);
     CHECK(world.relay.quarantine().crashes("bad", world.now) == 1);
