--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -117,7 +117,7 @@
 
     /// The request ran well: whatever ended endpoints so far, it was not this one. Later
     /// it may all the same: endpoints change, and their software.
-    void cameThrough(const std::string &digest, Time now);
+    void requestSucceeded(const std::string &digest, Time now);
 
     /// All that instances have told each other, as of now.
     void learn(const std::vector<CrashRecord> &all);
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -139,7 +139,7 @@
     endpointCrashed(endpoint, now);
 }
 
-void Quarantine::cameThrough(const std::string &digest, Time now)
+void Quarantine::requestSucceeded(const std::string &digest, Time now)
 {
     if (const auto it = m_requests.find(digest); it != m_requests.end()) {
         for (const auto &[endpoint, crash] : Crashes(it->second)) {
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -162,7 +162,7 @@
     endUnder(quarantine, "e1", {"good"});
     endUnder(quarantine, "e2", {"good"});
     REQUIRE(quarantine.news(Start).added.size() == 2);
-    quarantine.cameThrough("good", Start);
+    quarantine.requestSucceeded("good", Start);
     CHECK(quarantine.crashes("good", Start) == 0);
     CHECK(quarantine.news(Start).removed.size() == 2);
 }
@@ -171,7 +171,7 @@
 TEST_CASE("a request that came through just before takes more ends to be held")
 {
     Quarantine quarantine;
-    quarantine.cameThrough("popular", Start - seconds(1));
+    quarantine.requestSucceeded("popular", Start - seconds(1));
     for (const char *endpoint : {"e1", "e2", "e3"})
         endUnder(quarantine, endpoint, {"popular"});
     CHECK_FALSE(held(quarantine, "popular"));
@@ -185,7 +185,7 @@
 TEST_CASE("a request that came through long before is held like any other")
 {
     Quarantine quarantine;
-    quarantine.cameThrough("bad", Start - minutes(1));
+    quarantine.requestSucceeded("bad", Start - minutes(1));
     for (const char *endpoint : {"e1", "e2", "e3"})
         endUnder(quarantine, endpoint, {"bad"});
     CHECK(held(quarantine, "bad"));
@@ -194,7 +194,7 @@
 TEST_CASE("of what others tell, only what was before a success is taken back")
 {
     Quarantine quarantine;
-    quarantine.cameThrough("good", Start);
+    quarantine.requestSucceeded("good", Start);
     quarantine.learn({{"good", "e1", Start - seconds(1)}, {"good", "e2", Start + seconds(1)}});
     CHECK(quarantine.crashes("good", Start + seconds(2)) == 1);
     const CrashUpdate news = quarantine.news(Start + seconds(2));
@@ -228,11 +228,11 @@
 TEST_CASE("while no endpoint ends nothing is told, and one that comes through soon is not")
 {
     Quarantine quarantine;
-    quarantine.cameThrough("good", Start);
+    quarantine.requestSucceeded("good", Start);
     CHECK(quarantine.news(Start).empty());
     endUnder(quarantine, "e1", {"beside", "bad"});
     CHECK(quarantine.news(Start + milliseconds(100)).empty());
-    quarantine.cameThrough("beside", Start);
+    quarantine.requestSucceeded("beside", Start);
     const CrashUpdate news = quarantine.news(Start + seconds(1));
     CHECK(news.added == std::vector<CrashRecord> {{"bad", "e1", Start}});
     CHECK(news.removed.empty());
@@ -419,7 +419,7 @@
             return comeAgain(request);
         if (pick(2) == 0)
             return;
-        m_instances[request.instance].cameThrough(request.digest, m_now);
+        m_instances[request.instance].requestSucceeded(request.digest, m_now);
         request = {"later " + std::to_string(m_starts++), pick(Instances), pick(Endpoints)};
     }
 
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -532,7 +532,7 @@
 void Relay::passAnswer(FlightId id, Flight &flight, bool ranWell, Time now, RelayActions &actions)
 {
     if (ranWell)
-        m_quarantine.cameThrough(flight.request.digest, now);
+        m_quarantine.requestSucceeded(flight.request.digest, now);
     endTrial(flight, ranWell ? TrialOutcome::Succeeded : TrialOutcome::Inconclusive, actions);
     release(flight);
     m_flights.erase(id);
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -58,7 +58,7 @@
     if (flight.runsWell || now - *flight.firstEventAt < m_settings.runsWell)
         return;
     flight.runsWell = true;
-    m_quarantine.cameThrough(flight.request.digest, now);
+    m_quarantine.requestSucceeded(flight.request.digest, now);
     endTrial(flight, TrialOutcome::Succeeded, actions);
 }
 
