--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -133,7 +133,7 @@
     std::size_t crashes(const std::string &digest, Time now) const;
 
     /// Whether it is not known yet if enough endpoints ended to send it no more.
-    bool undecided(const std::string &digest, Time now) const;
+    bool awaitsConfirmation(const std::string &digest, Time now) const;
 
     /// Whether the request may be sent to an endpoint.
     Verdict verdict(const std::string &digest, Time now) const;
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -248,7 +248,7 @@
                       [&](const auto &each) { return counts(each.second, now); }));
 }
 
-bool Quarantine::undecided(const std::string &digest, Time now) const
+bool Quarantine::awaitsConfirmation(const std::string &digest, Time now) const
 {
     const auto it = m_requests.find(digest);
     if (it == m_requests.end())
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -89,18 +89,18 @@
 {
     Quarantine quarantine;
     quarantine.attemptBroken("bad", "e1", Start);
-    CHECK_FALSE(quarantine.undecided("bad", Start));
+    CHECK_FALSE(quarantine.awaitsConfirmation("bad", Start));
     quarantine.endpointCrashed("e1", Start);
     quarantine.attemptBroken("bad", "e2", Start);
-    CHECK(quarantine.undecided("bad", Start));
+    CHECK(quarantine.awaitsConfirmation("bad", Start));
     quarantine.endpointCrashed("e2", Start);
-    CHECK_FALSE(quarantine.undecided("bad", Start));
+    CHECK_FALSE(quarantine.awaitsConfirmation("bad", Start));
 
     quarantine.attemptBroken("other", "e3", Start);
     quarantine.attemptBroken("other", "e4", Start);
-    CHECK(quarantine.undecided("other", Start));
+    CHECK(quarantine.awaitsConfirmation("other", Start));
     quarantine.endpointAnswered("e4", Start + milliseconds(1));
-    CHECK_FALSE(quarantine.undecided("other", Start + milliseconds(1)));
+    CHECK_FALSE(quarantine.awaitsConfirmation("other", Start + milliseconds(1)));
 }
 
 // Guards against an innocent request that is shut out since it stood beside the guilty one.
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -46,7 +46,7 @@
 {
     const std::string &digest = flight.request.digest;
     return !flight.runsWell
-           && (m_quarantine.undecided(digest, now)
+           && (m_quarantine.awaitsConfirmation(digest, now)
                || m_quarantine.verdict(digest, now) != Verdict::Allowed);
 }
 
@@ -87,7 +87,7 @@
     const std::string &digest = flight.request.digest;
     if (flight.runsWell)
         return false;
-    if (m_quarantine.undecided(digest, now)) {
+    if (m_quarantine.awaitsConfirmation(digest, now)) {
         flight.repeatOwed = flight.sends > 0;
         return true;
     }
