--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -139,7 +139,7 @@
     Verdict verdict(const std::string &digest, Time now) const;
 
     /// How long a request that may not be sent is held back at most.
-    Duration heldFor(const std::string &digest, Time now) const;
+    Duration blockedFor(const std::string &digest, Time now) const;
 
     /// Endpoints of which it is not known whether they ended, though it could be by now.
     std::vector<std::string> doubtful(Time now) const;
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -338,7 +338,7 @@
     return suspect ? Verdict::TrialOnly : Verdict::Allowed;
 }
 
-Duration Quarantine::heldFor(const std::string &digest, Time now) const
+Duration Quarantine::blockedFor(const std::string &digest, Time now) const
 {
     switch (verdict(digest, now)) {
     case Verdict::Allowed:
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -126,7 +126,7 @@
     for (const char *endpoint : {"e1", "e2", "e3"})
         endUnder(quarantine, endpoint, {"beside"});
     CHECK(quarantine.verdict("beside", Start) == Verdict::Deferred);
-    CHECK(quarantine.heldFor("beside", Start) == seconds(2));
+    CHECK(quarantine.blockedFor("beside", Start) == seconds(2));
     quarantine.learn({{"bad", "e1", Start}, {"bad", "e2", Start}, {"bad", "e3", Start}});
     CHECK(quarantine.verdict("beside", Start + seconds(1)) == Verdict::Deferred);
     CHECK(quarantine.verdict("beside", Start + seconds(2)) == Verdict::TrialOnly);
@@ -245,7 +245,7 @@
     for (const char *endpoint : {"e1", "e2", "e3"})
         endUnder(quarantine, endpoint, {"bad"});
     REQUIRE(quarantine.news(Start + seconds(1)).added.size() == 3);
-    CHECK(quarantine.heldFor("bad", Start + minutes(4)) == minutes(6));
+    CHECK(quarantine.blockedFor("bad", Start + minutes(4)) == minutes(6));
     const Time later = Start + minutes(11);
     CHECK_FALSE(held(quarantine, "bad", later));
     CHECK(quarantine.news(later).empty());
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -100,7 +100,7 @@
     case Verdict::Quarantined:
         break;
     }
-    endHeld(id, flight, m_quarantine.heldFor(digest, now), now, actions);
+    endHeld(id, flight, m_quarantine.blockedFor(digest, now), now, actions);
     return true;
 }
 
@@ -206,7 +206,7 @@
     actions.push_back(AbandonAttempt {id, flight.attempt});
     noteGivenUp(flight, now);
     flight.ranAt.push_back(flight.endpoint);
-    endHeld(id, flight, m_quarantine.heldFor(digest, now), now, actions);
+    endHeld(id, flight, m_quarantine.blockedFor(digest, now), now, actions);
     return true;
 }
 
