--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -142,7 +142,7 @@
     Duration blockedFor(const std::string &digest, Time now) const;
 
     /// Endpoints of which it is not known whether they ended, though it could be by now.
-    std::vector<std::string> doubtful(Time now) const;
+    std::vector<std::string> unconfirmedEndpoints(Time now) const;
 
     std::size_t suspected() const { return m_requests.size(); }
     std::size_t heldCount(Time now) const;
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -352,7 +352,7 @@
     return lastEnd(digest) + m_settings.keptFor - now;
 }
 
-std::vector<std::string> Quarantine::doubtful(Time now) const
+std::vector<std::string> Quarantine::unconfirmedEndpoints(Time now) const
 {
     std::vector<std::string> endpoints;
     for (const auto &each : m_onEndpoint)
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -49,7 +49,7 @@
     for (const char *endpoint : {"e1", "e2", "e3", "e4"}) {
         quarantine.attemptBroken("good", endpoint, Start);
         const Time asked = Start + milliseconds(1);
-        CHECK(quarantine.doubtful(asked) == std::vector<std::string> {endpoint});
+        CHECK(quarantine.unconfirmedEndpoints(asked) == std::vector<std::string> {endpoint});
         quarantine.endpointAnswered(endpoint, asked);
     }
     CHECK(quarantine.crashes("good", Start) == 0);
@@ -62,7 +62,7 @@
     Quarantine quarantine;
     quarantine.attemptAbandoned("bad", "e1", Start);
     quarantine.attemptAbandoned("earlier", "e1", Start - milliseconds(300));
-    CHECK(quarantine.doubtful(Start + milliseconds(100)) == std::vector<std::string> {"e1"});
+    CHECK(quarantine.unconfirmedEndpoints(Start + milliseconds(100)) == std::vector<std::string> {"e1"});
     endUnder(quarantine, "e1", {"beside"}, Start + milliseconds(50));
     CHECK(quarantine.crashes("bad", Start + milliseconds(50)) == 1);
     CHECK(quarantine.crashes("earlier", Start + milliseconds(50)) == 0);
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -66,7 +66,7 @@
 /// that it leaves did not end under a request.
 void Relay::settleDoubts(Time now)
 {
-    for (const std::string &id : m_quarantine.doubtful(now)) {
+    for (const std::string &id : m_quarantine.unconfirmedEndpoints(now)) {
         const FleetEndpoint *endpoint = m_fleet->find(id);
         if (!endpoint)
             m_quarantine.endpointDelisted(id, now);
@@ -77,7 +77,7 @@
 
 void Relay::askDoubtful(Time now, RelayActions &actions)
 {
-    for (const std::string &id : m_quarantine.doubtful(now))
+    for (const std::string &id : m_quarantine.unconfirmedEndpoints(now))
         ask(id, now, actions);
 }
 
