--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -414,7 +414,7 @@
     sample("crashes_under_requests_total", counts.crashes);
     sample("requests_held_back_total", counts.quarantined);
     sample("contents_suspected", m_relay.quarantine().suspected());
-    sample("contents_held", m_relay.quarantine().heldCount(steadyNow()));
+    sample("contents_held", m_relay.quarantine().quarantinedCount(steadyNow()));
     sample("endpoints_with_rate_limit", m_relay.rateLimits().size());
     sample("endpoints_passed_over_total", counts.rateLimitSkips);
     sample("requests_open", m_relay.flights());
--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -145,7 +145,7 @@
     std::vector<std::string> unconfirmedEndpoints(Time now) const;
 
     std::size_t suspected() const { return m_requests.size(); }
-    std::size_t heldCount(Time now) const;
+    std::size_t quarantinedCount(Time now) const;
 
 private:
     enum class Stage : std::uint8_t { Doubtful, Own, Told, Shared };
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -364,7 +364,7 @@
     return endpoints;
 }
 
-std::size_t Quarantine::heldCount(Time now) const
+std::size_t Quarantine::quarantinedCount(Time now) const
 {
     return static_cast<std::size_t>(
         std::count_if(m_requests.begin(), m_requests.end(),
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -39,7 +39,7 @@
     endUnder(quarantine, "e3", {"bad"});
     CHECK(held(quarantine, "bad"));
     CHECK_FALSE(held(quarantine, "other"));
-    CHECK(quarantine.heldCount(Start + seconds(2)) == 1);
+    CHECK(quarantine.quarantinedCount(Start + seconds(2)) == 1);
 }
 
 // Guards against connections that are reset by endpoints which live on.
