--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -45,7 +45,7 @@
 struct QuarantineSettings
 {
     /// Endpoints that ended under a held request, and whose end no other request explains.
-    std::size_t crashesToHold = 3;
+    std::size_t crashesToQuarantine = 3;
     /// The same when something speaks for the request: others were on these endpoints
     /// too, or it came through shortly before.
     std::size_t crashesToHoldForSure = 5;
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -270,7 +270,7 @@
     return on != m_onEndpoint.end()
            && std::any_of(on->second.begin(), on->second.end(), [&](const std::string &other) {
                   return other != digest && counts(m_requests.at(other).at(endpoint), now)
-                         && crashes(other, now) >= m_settings.crashesToHold;
+                         && crashes(other, now) >= m_settings.crashesToQuarantine;
               });
 }
 
@@ -293,7 +293,7 @@
     const auto unexplained = std::count_if(under.begin(), under.end(), [&](const auto &each) {
         return counts(each.second, now) && !explainedByOther(digest, each.first, now);
     });
-    return static_cast<std::size_t>(unexplained) >= m_settings.crashesToHold;
+    return static_cast<std::size_t>(unexplained) >= m_settings.crashesToQuarantine;
 }
 
 Time Quarantine::lastEnd(const std::string &digest) const
@@ -309,7 +309,7 @@
 /// one that another instance sent.
 Duration Quarantine::unsettledFor(const std::string &digest, Time now) const
 {
-    if (crashes(digest, now) < m_settings.crashesToHold)
+    if (crashes(digest, now) < m_settings.crashesToQuarantine)
         return {};
     return std::max(Duration {}, lastEnd(digest) + m_settings.settleAfter - now);
 }
@@ -331,7 +331,7 @@
     if (unsettledFor(digest, now) > Duration {})
         return Verdict::Deferred;
     const Crashes &under = m_requests.at(digest);
-    if (count >= m_settings.crashesToHold && guilty(digest, under, now))
+    if (count >= m_settings.crashesToQuarantine && guilty(digest, under, now))
         return Verdict::Quarantined;
     const bool suspect = count >= m_settings.crashesToTry
                          || (seenByOthers(under, now) && !cameThroughBefore(digest, under));
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -470,12 +470,12 @@
 TEST_CASE("the random schedules notice a safeguard that is missing")
 {
     QuarantineSettings oneEnd;
-    oneEnd.crashesToHold = 1;
+    oneEnd.crashesToQuarantine = 1;
     CHECK(runSchedules(300, oneEnd).harmlessHeld > 0);
     QuarantineSettings nothingExplains;
-    nothingExplains.crashesToHoldForSure = nothingExplains.crashesToHold;
+    nothingExplains.crashesToHoldForSure = nothingExplains.crashesToQuarantine;
     CHECK(runSchedules(20'000, nothingExplains).harmlessHeld > 0);
     QuarantineSettings neverHeld;
-    neverHeld.crashesToHold = neverHeld.crashesToHoldForSure = 100;
+    neverHeld.crashesToQuarantine = neverHeld.crashesToHoldForSure = 100;
     CHECK(runSchedules(10, neverHeld).mostEnds > QuarantineSettings {}.crashesToHoldForSure);
 }
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -135,7 +135,7 @@
     trial.endpoint = send.endpoint;
     trial.first = send.path.empty() ? std::nullopt : std::make_optional(send.path.front());
     const std::string &digest = flight.request.digest;
-    const bool limited = m_quarantine.crashes(digest, now) >= m_quarantine.settings().crashesToHold;
+    const bool limited = m_quarantine.crashes(digest, now) >= m_quarantine.settings().crashesToQuarantine;
     actions.push_back(RequestTrial {id, {digest, send.endpoint, limited}});
     return true;
 }
