--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -48,7 +48,7 @@
     std::size_t crashesToQuarantine = 3;
     /// The same when something speaks for the request: others were on these endpoints
     /// too, or it came through shortly before.
-    std::size_t crashesToHoldForSure = 5;
+    std::size_t crashesToForceQuarantine = 5;
     /// An endpoint that has begun a request ends by then, also when it was given up.
     Duration endsWithin {200'000};
     /// One at which a run stands still is asked by then; silence proves nothing after that.
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -286,7 +286,7 @@
 bool Quarantine::guilty(const std::string &digest, const Crashes &under, Time now) const
 {
     const std::size_t count = crashes(digest, now);
-    if (count >= m_settings.crashesToHoldForSure)
+    if (count >= m_settings.crashesToForceQuarantine)
         return true;
     if (cameThroughBefore(digest, under))
         return false;
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -464,7 +464,7 @@
 {
     const ScheduleResult result = runSchedules(100'000);
     CHECK(result.harmlessHeld == 0);
-    CHECK(result.mostEnds <= QuarantineSettings {}.crashesToHoldForSure);
+    CHECK(result.mostEnds <= QuarantineSettings {}.crashesToForceQuarantine);
 }
 
 TEST_CASE("the random schedules notice a safeguard that is missing")
@@ -473,9 +473,9 @@
     oneEnd.crashesToQuarantine = 1;
     CHECK(runSchedules(300, oneEnd).harmlessHeld > 0);
     QuarantineSettings nothingExplains;
-    nothingExplains.crashesToHoldForSure = nothingExplains.crashesToQuarantine;
+    nothingExplains.crashesToForceQuarantine = nothingExplains.crashesToQuarantine;
     CHECK(runSchedules(20'000, nothingExplains).harmlessHeld > 0);
     QuarantineSettings neverHeld;
-    neverHeld.crashesToQuarantine = neverHeld.crashesToHoldForSure = 100;
-    CHECK(runSchedules(10, neverHeld).mostEnds > QuarantineSettings {}.crashesToHoldForSure);
+    neverHeld.crashesToQuarantine = neverHeld.crashesToForceQuarantine = 100;
+    CHECK(runSchedules(10, neverHeld).mostEnds > QuarantineSettings {}.crashesToForceQuarantine);
 }
