--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -50,7 +50,7 @@
     /// too, or it came through shortly before.
     std::size_t crashesToForceQuarantine = 5;
     /// An endpoint that has begun a request ends by then, also when it was given up.
-    Duration endsWithin {200'000};
+    Duration crashDelay {200'000};
     /// One at which a run stands still is asked by then; silence proves nothing after that.
     Duration askedWithin {1'000'000};
     /// After an endpoint's end: all that stood beside are known everywhere by then.
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -72,7 +72,7 @@
 void Quarantine::attemptAbandoned(const std::string &digest, const std::string &endpoint, Time now)
 {
     doubt(digest, endpoint,
-          {now, Stage::Doubtful, Sign::GivenUp, true, now + m_settings.endsWithin});
+          {now, Stage::Doubtful, Sign::GivenUp, true, now + m_settings.crashDelay});
 }
 
 void Quarantine::attemptStalled(const std::string &digest, const std::string &endpoint, Time now)
