--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -52,7 +52,7 @@
     /// An endpoint that has begun a request ends by then, also when it was given up.
     Duration crashDelay {200'000};
     /// One at which a run stands still is asked by then; silence proves nothing after that.
-    Duration askedWithin {1'000'000};
+    Duration stallQueryWindow {1'000'000};
     /// After an endpoint's end: all that stood beside are known everywhere by then.
     Duration settleAfter {2'000'000};
     /// Endpoints that ended under a request, from which on it is sent by trial only, and
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -255,7 +255,7 @@
         return false;
     const auto open = std::count_if(it->second.begin(), it->second.end(), [&](const auto &each) {
         const Crash &crash = each.second;
-        const bool silent = crash.sign == Sign::Stalled && now - crash.at >= m_settings.askedWithin;
+        const bool silent = crash.sign == Sign::Stalled && now - crash.at >= m_settings.stallQueryWindow;
         return crash.stage == Stage::Doubtful && crash.sign != Sign::GivenUp && !silent;
     });
     return open > 0 && static_cast<std::size_t>(open) + crashes(digest, now) > 1;
