--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -54,7 +54,7 @@
     /// One at which a run stands still is asked by then; silence proves nothing after that.
     Duration stallQueryWindow {1'000'000};
     /// After an endpoint's end: all that stood beside are known everywhere by then.
-    Duration settleAfter {2'000'000};
+    Duration propagationDelay {2'000'000};
     /// Endpoints that ended under a request, from which on it is sent by trial only, and
     /// what runs without a permit is taken back.
     std::size_t crashesToTry = 2;
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -311,7 +311,7 @@
 {
     if (crashes(digest, now) < m_settings.crashesToQuarantine)
         return {};
-    return std::max(Duration {}, lastEnd(digest) + m_settings.settleAfter - now);
+    return std::max(Duration {}, lastEnd(digest) + m_settings.propagationDelay - now);
 }
 
 /// Whether other instances saw an endpoint end under the request: then copies of it come
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -184,7 +184,7 @@
 {
     const bool held = m_quarantine.verdict(flight.request.digest, now) == Verdict::Quarantined;
     std::uniform_int_distribution<std::int64_t> spread(0,
-                                                       m_quarantine.settings().settleAfter.count());
+                                                       m_quarantine.settings().propagationDelay.count());
     m_counts.quarantined += 1;
     end(id, endOf(flight, FlightOutcome::Failed),
         held ? "held back: endpoints ended under it" : "endpoints ended under it; not tried now",
