--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -333,7 +333,7 @@
     const Crashes &under = m_requests.at(digest);
     if (count >= m_settings.crashesToQuarantine && guilty(digest, under, now))
         return Verdict::Quarantined;
-    const bool suspect = count >= m_settings.crashesToTry
+    const bool suspect = count >= m_settings.crashesToRequireTrial
                          || (seenByOthers(under, now) && !cameThroughBefore(digest, under));
     return suspect ? Verdict::TrialOnly : Verdict::Allowed;
 }
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -201,7 +201,7 @@
     const bool begun = flight.firstEventAt.has_value();
     if (m_quarantine.verdict(digest, now) == Verdict::TrialOnly
         && flight.trial.state != Trial::State::Sent
-        && (begun || m_quarantine.crashes(digest, now) < m_quarantine.settings().crashesToTry))
+        && (begun || m_quarantine.crashes(digest, now) < m_quarantine.settings().crashesToRequireTrial))
         return false;
     actions.push_back(AbandonAttempt {id, flight.attempt});
     noteGivenUp(flight, now);
