--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -58,7 +58,7 @@
     /// Endpoints that ended under a request, from which on it is sent by trial only, and
     /// what runs without a permit is taken back.
     std::size_t crashesToRequireTrial = 2;
-    Duration keptFor {600'000'000}; ///< how long the end of an endpoint is held against a request
+    Duration retention {600'000'000}; ///< how long the end of an endpoint is held against a request
     /// A request that only stood beside comes through elsewhere by then, and nobody
     /// need be told of it.
     Duration tellAfter {500'000};
--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -70,7 +70,7 @@
     /// A holder that lives has told by then how its try ended. Longer than it takes until
     /// a dead endpoint is no longer listed, so that the end of an endpoint shows.
     Duration margin {5'000'000};
-    Duration keptFor {600'000'000}; ///< see QuarantineSettings
+    Duration retention {600'000'000}; ///< see QuarantineSettings
     std::uint32_t mostTries = 3; ///< of those that are limited
     Duration askAgain {1'000'000}; ///< after the store gave no answer
 };
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -11,7 +11,7 @@
 
 bool Quarantine::counts(const Crash &crash, Time now) const
 {
-    return crash.stage != Stage::Doubtful && now - crash.at < m_settings.keptFor;
+    return crash.stage != Stage::Doubtful && now - crash.at < m_settings.retention;
 }
 
 void Quarantine::add(const std::string &digest, const std::string &endpoint, Crash crash)
@@ -225,7 +225,7 @@
     std::vector<CrashRecord> expired;
     for (const auto &[digest, crashes] : m_requests)
         for (const auto &[endpoint, crash] : crashes) {
-            if (now - crash.at < m_settings.keptFor)
+            if (now - crash.at < m_settings.retention)
                 continue;
             if (crash.stage == Stage::Doubtful || crash.stage == Stage::Own || !news.empty())
                 expired.push_back({digest, endpoint, crash.at});
@@ -349,7 +349,7 @@
     case Verdict::Quarantined:
         break;
     }
-    return lastEnd(digest) + m_settings.keptFor - now;
+    return lastEnd(digest) + m_settings.retention - now;
 }
 
 std::vector<std::string> Quarantine::unconfirmedEndpoints(Time now) const
--- a/src/libbalsamloft/trialpermits.cpp
+++ b/src/libbalsamloft/trialpermits.cpp
@@ -88,7 +88,7 @@
         return change;
     }
     if (request.limited && content.tries >= m_settings.mostTries)
-        return TrialAnswer {false, {}, false, content.until + m_settings.keptFor - storeNow};
+        return TrialAnswer {false, {}, false, content.until + m_settings.retention - storeNow};
     TrialRow endpoint = row(trialKeyOfEndpoint(request.endpoint));
     if (runs(endpoint, storeNow))
         return TrialAnswer {false, {}, true, m_settings.askAgain};
@@ -152,7 +152,7 @@
 {
     std::vector<std::string> keys;
     for (const auto &[key, each] : m_rows)
-        if (storeNow > each.until + m_settings.keptFor)
+        if (storeNow > each.until + m_settings.retention)
             keys.push_back(key);
     return keys;
 }
