--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -61,7 +61,7 @@
     Duration retention {600'000'000}; ///< how long the end of an endpoint is held against a request
     /// A request that only stood beside comes through elsewhere by then, and nobody
     /// need be told of it.
-    Duration tellAfter {500'000};
+    Duration publishDelay {500'000};
     Duration recently {10'000'000}; ///< a success so long before an end speaks for the request
     std::size_t mostDigests = 1024; ///< that are suspected at a time
     std::size_t mostGood = 1024; ///< digests that came through last
