--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -94,7 +94,7 @@
      "m_quarantine.attemptAbandoned(flight.request.digest, flight.endpoint, now);", "(void)now;",
      "crashingrequests_test: a request that is given up as its engine ends is found out"),
     ("an earlier success is no veto", "src/libbalsamloft/quarantine.cpp",
-     "return each.second.at - good->second < m_settings.recently;", "return true;",
+     "return each.second.at - good->second < m_settings.successWindow;", "return true;",
      "quarantine_test: a request that came through long before is held like any other"),
     ("a suspected request waits for the permit", "src/libbalsamloft/relaycrashes.cpp",
      "return awaitTrial(id, flight, now, actions);", "return false;",
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -279,7 +279,7 @@
 {
     const auto good = m_good.find(digest);
     return good != m_good.end() && std::any_of(under.begin(), under.end(), [&](const auto &each) {
-               return each.second.at - good->second < m_settings.recently;
+               return each.second.at - good->second < m_settings.successWindow;
            });
 }
 
