--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -35,7 +35,7 @@
 /// ended, nor keep a new one from being suspected.
 bool Quarantine::makeRoom()
 {
-    if (m_requests.size() < m_settings.mostDigests)
+    if (m_requests.size() < m_settings.maxDigests)
         return true;
     auto oldest = m_requests.end();
     for (auto it = m_requests.begin(); it != m_requests.end(); ++it)
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -263,7 +263,7 @@
     endUnder(quarantine, "e2", {"bad"});
     for (int i = 0; i < 20'000; ++i)
         endUnder(quarantine, "f" + std::to_string(i % 50), {"flood " + std::to_string(i)});
-    CHECK(quarantine.suspected() <= QuarantineSettings {}.mostDigests);
+    CHECK(quarantine.suspected() <= QuarantineSettings {}.maxDigests);
     CHECK(quarantine.crashes("bad", Start) == 2);
     CHECK(quarantine.news(Start + seconds(1)).added.size() <= QuarantineSettings {}.mostNews);
 }
@@ -273,13 +273,13 @@
 {
     Quarantine quarantine;
     std::vector<CrashRecord> told;
-    for (std::size_t i = 0; i < QuarantineSettings {}.mostDigests; ++i)
+    for (std::size_t i = 0; i < QuarantineSettings {}.maxDigests; ++i)
         told.push_back({"told " + std::to_string(i), "f" + std::to_string(i % 50), Start});
     quarantine.learn(told);
     for (const char *endpoint : {"e1", "e2", "e3"})
         endUnder(quarantine, endpoint, {"bad"});
     CHECK(held(quarantine, "bad"));
-    CHECK(quarantine.suspected() <= QuarantineSettings {}.mostDigests);
+    CHECK(quarantine.suspected() <= QuarantineSettings {}.maxDigests);
     CHECK(quarantine.news(Start + seconds(1)).removed.size() == 1);
 }
 
