--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -64,7 +64,7 @@
     Duration publishDelay {500'000};
     Duration successWindow {10'000'000}; ///< a success so long before an end speaks for the request
     std::size_t maxDigests = 1024; ///< that are suspected at a time
-    std::size_t mostGood = 1024; ///< digests that came through last
+    std::size_t maxSuccesses = 1024; ///< digests that came through last
     /// Records that instances tell each other; beyond it only of requests under which
     /// several endpoints ended.
     std::size_t mostShared = 1000;
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -151,7 +151,7 @@
     if (!m_good.insert_or_assign(digest, now).second)
         return;
     m_goodOrder.push_back(digest);
-    if (m_goodOrder.size() > m_settings.mostGood) {
+    if (m_goodOrder.size() > m_settings.maxSuccesses) {
         m_good.erase(m_goodOrder.front());
         m_goodOrder.pop_front();
     }
