--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -67,7 +67,7 @@
     std::size_t maxSuccesses = 1024; ///< digests that came through last
     /// Records that instances tell each other; beyond it only of requests under which
     /// several endpoints ended.
-    std::size_t mostShared = 1000;
+    std::size_t maxShared = 1000;
     std::size_t mostNews = 40; ///< records that are told at a time
 };
 
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -201,7 +201,7 @@
     const auto ended = std::count_if(crashes.begin(), crashes.end(),
                                      [&](const auto &each) { return counts(each.second, now); });
     return ended > 1
-           || (now - crash.at >= m_settings.publishDelay && m_shared < m_settings.mostShared);
+           || (now - crash.at >= m_settings.publishDelay && m_shared < m_settings.maxShared);
 }
 
 CrashUpdate Quarantine::news(Time now)
