--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -68,7 +68,7 @@
     /// Records that instances tell each other; beyond it only of requests under which
     /// several endpoints ended.
     std::size_t maxShared = 1000;
-    std::size_t mostNews = 40; ///< records that are told at a time
+    std::size_t maxPerUpdate = 40; ///< records that are told at a time
 };
 
 /// Keeps which requests were on endpoints that ended, here and at other instances.
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -210,7 +210,7 @@
     news.removed.swap(m_retracted);
     for (auto &[digest, crashes] : m_requests)
         for (auto &[endpoint, crash] : crashes)
-            if (news.added.size() < m_settings.mostNews && worthTelling(crashes, crash, now)) {
+            if (news.added.size() < m_settings.maxPerUpdate && worthTelling(crashes, crash, now)) {
                 crash.stage = Stage::Told;
                 news.added.push_back({digest, endpoint, crash.at});
             }
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -265,7 +265,7 @@
         endUnder(quarantine, "f" + std::to_string(i % 50), {"flood " + std::to_string(i)});
     CHECK(quarantine.suspected() <= QuarantineSettings {}.maxDigests);
     CHECK(quarantine.crashes("bad", Start) == 2);
-    CHECK(quarantine.news(Start + seconds(1)).added.size() <= QuarantineSettings {}.mostNews);
+    CHECK(quarantine.news(Start + seconds(1)).added.size() <= QuarantineSettings {}.maxPerUpdate);
 }
 
 // Guards against a memory full of others' records, in which a new request is never suspected.
