--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -16,7 +16,7 @@
 /// for the endpoint.
 struct TrialRow
 {
-    std::string key; ///< see trialKeyOfContent(), trialKeyOfEndpoint()
+    std::string key; ///< see contentTrialKey(), trialKeyOfEndpoint()
     std::uint64_t version = 0; ///< 0: there is none
     std::string at; ///< the content's endpoint, or the endpoint's content; empty: it is over
     std::string holder; ///< process that was permitted to try
@@ -24,7 +24,7 @@
     std::uint32_t tries = 0; ///< of the content while it is as good as found out
 };
 
-std::string trialKeyOfContent(std::string_view digest);
+std::string contentTrialKey(std::string_view digest);
 std::string trialKeyOfEndpoint(std::string_view endpoint);
 
 /// Whether rows with that key are TrialRow.
--- a/src/libbalsamloft/trialpermits.cpp
+++ b/src/libbalsamloft/trialpermits.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-std::string trialKeyOfContent(std::string_view digest)
+std::string contentTrialKey(std::string_view digest)
 {
     return std::string(ContentPrefix).append(digest);
 }
@@ -76,7 +76,7 @@
 std::variant<TrialChange, TrialAnswer>
 TrialPermits::ask(const TrialRequest &request, const FleetSnapshot &fleet, Time storeNow) const
 {
-    TrialRow content = row(trialKeyOfContent(request.digest));
+    TrialRow content = row(contentTrialKey(request.digest));
     const bool told = endTold(request.digest, content.at);
     if (!told && runs(content, storeNow))
         return TrialAnswer {false, {}, false, waitFor(content, storeNow)};
@@ -106,7 +106,7 @@
 {
     if (committed && !asked.crash)
         return {true, m_settings.lasts, false, {}};
-    const TrialRow content = row(trialKeyOfContent(request.digest));
+    const TrialRow content = row(contentTrialKey(request.digest));
     const bool taken = !committed && !runs(content, storeNow)
                        && runs(row(trialKeyOfEndpoint(request.endpoint)), storeNow);
     return {false, {}, taken, waitFor(content, storeNow)};
@@ -131,7 +131,7 @@
 
 std::optional<TrialChange> TrialPermits::release(const std::string &digest, TrialOutcome end) const
 {
-    TrialRow content = row(trialKeyOfContent(digest));
+    TrialRow content = row(contentTrialKey(digest));
     const TrialRow endpoint = row(trialKeyOfEndpoint(content.at));
     if (content.at.empty() || content.holder != m_settings.holder || endpoint.at != digest)
         return std::nullopt;
