--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -16,7 +16,7 @@
 /// for the endpoint.
 struct TrialRow
 {
-    std::string key; ///< see contentTrialKey(), trialKeyOfEndpoint()
+    std::string key; ///< see contentTrialKey(), endpointTrialKey()
     std::uint64_t version = 0; ///< 0: there is none
     std::string at; ///< the content's endpoint, or the endpoint's content; empty: it is over
     std::string holder; ///< process that was permitted to try
@@ -25,7 +25,7 @@
 };
 
 std::string contentTrialKey(std::string_view digest);
-std::string trialKeyOfEndpoint(std::string_view endpoint);
+std::string endpointTrialKey(std::string_view endpoint);
 
 /// Whether rows with that key are TrialRow.
 bool isTrialKey(std::string_view key);
--- a/src/libbalsamloft/trialpermits.cpp
+++ b/src/libbalsamloft/trialpermits.cpp
@@ -16,7 +16,7 @@
     return std::string(ContentPrefix).append(digest);
 }
 
-std::string trialKeyOfEndpoint(std::string_view endpoint)
+std::string endpointTrialKey(std::string_view endpoint)
 {
     return std::string(EndpointPrefix).append(endpoint);
 }
@@ -89,7 +89,7 @@
     }
     if (request.limited && content.tries >= m_settings.mostTries)
         return TrialAnswer {false, {}, false, content.until + m_settings.retention - storeNow};
-    TrialRow endpoint = row(trialKeyOfEndpoint(request.endpoint));
+    TrialRow endpoint = row(endpointTrialKey(request.endpoint));
     if (runs(endpoint, storeNow))
         return TrialAnswer {false, {}, true, m_settings.askAgain};
     content.at = request.endpoint;
@@ -108,7 +108,7 @@
         return {true, m_settings.lasts, false, {}};
     const TrialRow content = row(contentTrialKey(request.digest));
     const bool taken = !committed && !runs(content, storeNow)
-                       && runs(row(trialKeyOfEndpoint(request.endpoint)), storeNow);
+                       && runs(row(endpointTrialKey(request.endpoint)), storeNow);
     return {false, {}, taken, waitFor(content, storeNow)};
 }
 
@@ -132,7 +132,7 @@
 std::optional<TrialChange> TrialPermits::release(const std::string &digest, TrialOutcome end) const
 {
     TrialRow content = row(contentTrialKey(digest));
-    const TrialRow endpoint = row(trialKeyOfEndpoint(content.at));
+    const TrialRow endpoint = row(endpointTrialKey(content.at));
     if (content.at.empty() || content.holder != m_settings.holder || endpoint.at != digest)
         return std::nullopt;
     TrialChange change;
