--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -109,7 +109,7 @@
      "&& !fleet.find(content.at)", "&& false",
      "trialpermits_test: the end of an endpoint is counted when who tried there was killed too"),
     ("few tries", "src/libbalsamloft/trialpermits.cpp",
-     "request.limited && content.tries >= m_settings.mostTries", "false",
+     "request.limited && content.tries >= m_settings.maxTrials", "false",
      "trialpermits_test: a request that is as good as found out has few tries left, as long as none is well"),
     ("only an own permit is given back", "src/libbalsamloft/trialpermits.cpp",
      "|| content.holder != m_settings.holder", "",
--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -71,7 +71,7 @@
     /// a dead endpoint is no longer listed, so that the end of an endpoint shows.
     Duration margin {5'000'000};
     Duration retention {600'000'000}; ///< see QuarantineSettings
-    std::uint32_t mostTries = 3; ///< of those that are limited
+    std::uint32_t maxTrials = 3; ///< of those that are limited
     Duration askAgain {1'000'000}; ///< after the store gave no answer
 };
 
--- a/src/libbalsamloft/trialpermits.cpp
+++ b/src/libbalsamloft/trialpermits.cpp
@@ -87,7 +87,7 @@
         change.rows = {content};
         return change;
     }
-    if (request.limited && content.tries >= m_settings.mostTries)
+    if (request.limited && content.tries >= m_settings.maxTrials)
         return TrialAnswer {false, {}, false, content.until + m_settings.retention - storeNow};
     TrialRow endpoint = row(endpointTrialKey(request.endpoint));
     if (runs(endpoint, storeNow))
