--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -72,7 +72,7 @@
     Duration margin {5'000'000};
     Duration retention {600'000'000}; ///< see QuarantineSettings
     std::uint32_t maxTrials = 3; ///< of those that are limited
-    Duration askAgain {1'000'000}; ///< after the store gave no answer
+    Duration retryInterval {1'000'000}; ///< after the store gave no answer
 };
 
 /// Decides on permits by the rows that all instances know, and by conditions on them.
--- a/src/libbalsamloft/trialpermits.cpp
+++ b/src/libbalsamloft/trialpermits.cpp
@@ -70,7 +70,7 @@
 Duration TrialPermits::waitFor(const TrialRow &row, Time storeNow) const
 {
     // Most tries are over long before their time.
-    return std::max(m_settings.askAgain, row.until - storeNow);
+    return std::max(m_settings.retryInterval, row.until - storeNow);
 }
 
 std::variant<TrialChange, TrialAnswer>
@@ -91,7 +91,7 @@
         return TrialAnswer {false, {}, false, content.until + m_settings.retention - storeNow};
     TrialRow endpoint = row(endpointTrialKey(request.endpoint));
     if (runs(endpoint, storeNow))
-        return TrialAnswer {false, {}, true, m_settings.askAgain};
+        return TrialAnswer {false, {}, true, m_settings.retryInterval};
     content.at = request.endpoint;
     endpoint.at = request.digest;
     content.tries += request.limited ? 1 : 0;
