--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -51,7 +51,7 @@
 {
     bool granted = false;
     Duration lasts {}; ///< the permit, from the moment in which it was asked for
-    bool endpointTaken = false; ///< something else is tried there
+    bool endpointBusy = false; ///< something else is tried there
     Duration wait {}; ///< until it is worth asking again
 };
 
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -156,7 +156,7 @@
         return dispatch(id, flight, now, actions);
     }
     flight.trial.state = Trial::State::None;
-    if (answer.endpointTaken) {
+    if (answer.endpointBusy) {
         flight.trial.taken.insert(flight.trial.endpoint);
         return;
     }
--- a/src/libbalsamloft/trialpermits_test.cpp
+++ b/src/libbalsamloft/trialpermits_test.cpp
@@ -88,7 +88,7 @@
     CHECK(fleet.ask(0, {"bad", "e1"}).granted);
     const TrialAnswer second = fleet.ask(1, {"bad", "e2"});
     CHECK_FALSE(second.granted);
-    CHECK_FALSE(second.endpointTaken);
+    CHECK_FALSE(second.endpointBusy);
     CHECK(second.wait >= seconds(1));
 }
 
@@ -99,9 +99,9 @@
     REQUIRE(fleet.ask(0, {"bad", "e1"}).granted);
     const TrialAnswer second = fleet.ask(1, {"beside", "e1"});
     CHECK_FALSE(second.granted);
-    CHECK(second.endpointTaken);
+    CHECK(second.endpointBusy);
     fleet.tellAll();
-    CHECK(fleet.ask(1, {"beside", "e1"}).endpointTaken);
+    CHECK(fleet.ask(1, {"beside", "e1"}).endpointBusy);
     CHECK(fleet.ask(1, {"beside", "e2"}).granted);
 }
 
