--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -79,7 +79,7 @@
     }
     for (const CrashRecord &each : news.removed)
         m_crashWrites[keyOf(each)] = std::nullopt;
-    for (std::string &key : m_trials.outdated(storeNow()))
+    for (std::string &key : m_trials.expiredKeys(storeNow()))
         m_crashWrites[std::move(key)] = std::nullopt;
     while (m_crashWrites.size() > MostWaiting)
         m_crashWrites.erase(m_crashWrites.begin());
--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -109,7 +109,7 @@
     std::optional<TrialChange> release(const std::string &digest, TrialOutcome end) const;
 
     /// Rows that no try needs any more.
-    std::vector<std::string> outdated(Time storeNow) const;
+    std::vector<std::string> expiredKeys(Time storeNow) const;
 
     const std::map<std::string, TrialRow, std::less<>> &rows() const { return m_rows; }
 
--- a/src/libbalsamloft/trialpermits.cpp
+++ b/src/libbalsamloft/trialpermits.cpp
@@ -148,7 +148,7 @@
     return change;
 }
 
-std::vector<std::string> TrialPermits::outdated(Time storeNow) const
+std::vector<std::string> TrialPermits::expiredKeys(Time storeNow) const
 {
     std::vector<std::string> keys;
     for (const auto &[key, each] : m_rows)
