--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-CrashWorld::CrashWorld(CrashWorldSettings settings)
+CrashSimulation::CrashSimulation(CrashWorldSettings settings)
     : m_settings(settings)
     , m_random(settings.seed)
     , m_relays(settings.instances)
@@ -55,7 +55,7 @@
     after(m_settings.crashingEvery, [this] { arriveCrashing(); });
 }
 
-void CrashWorld::startInstance(std::size_t instance)
+void CrashSimulation::startInstance(std::size_t instance)
 {
     RelaySettings settings = RelayWorld::defaults();
     settings.domain = "d" + std::to_string(instance % m_settings.domains);
@@ -70,7 +70,7 @@
     tellFleet();
 }
 
-void CrashWorld::suspectTogether(std::size_t others)
+void CrashSimulation::suspectTogether(std::size_t others)
 {
     std::vector<std::string> digests {crashingDigest()};
     for (std::size_t i = 0; i < others; ++i)
@@ -91,7 +91,7 @@
     }
 }
 
-void CrashWorld::restartInstances()
+void CrashSimulation::restartInstances()
 {
     for (std::size_t i = 0; i < m_settings.instances; ++i)
         startInstance(i);
@@ -102,14 +102,14 @@
 }
 
 /// Where engines in the middle of paths end, every other one holds the second half.
-LayerRange CrashWorld::layersOf(std::size_t number) const
+LayerRange CrashSimulation::layersOf(std::size_t number) const
 {
     if (m_settings.crashKind != CrashKind::EndsMiddle)
         return {0, Layers};
     return number % 2 == 0 ? LayerRange {0, Layers / 2} : LayerRange {Layers / 2, Layers};
 }
 
-void CrashWorld::startEngine(const std::string &domain, LayerRange layers)
+void CrashSimulation::startEngine(const std::string &domain, LayerRange layers)
 {
     Engine engine;
     engine.layers = layers;
@@ -120,7 +120,7 @@
     tellFleet();
 }
 
-void CrashWorld::tellFleet()
+void CrashSimulation::tellFleet()
 {
     auto fleet = std::make_shared<FleetSnapshot>();
     fleet->number = m_next++;
@@ -145,34 +145,34 @@
 }
 
 template<typename Step>
-void CrashWorld::step(std::size_t instance, Step what)
+void CrashSimulation::step(std::size_t instance, Step what)
 {
     RelayActions actions;
     what(*m_relays[instance], actions);
     act(instance, std::move(actions));
 }
 
-void CrashWorld::after(Duration delay, std::function<void()> what)
+void CrashSimulation::after(Duration delay, std::function<void()> what)
 {
     m_events.push({m_now + delay, m_next++, std::move(what)});
 }
 
-Duration CrashWorld::between(std::int64_t least, std::int64_t most)
+Duration CrashSimulation::between(std::int64_t least, std::int64_t most)
 {
     return Duration(std::uniform_int_distribution<std::int64_t>(least, most)(m_random));
 }
 
-Duration CrashWorld::upTo(Duration most)
+Duration CrashSimulation::upTo(Duration most)
 {
     return most == Duration {} ? most : between(0, most.count());
 }
 
-std::size_t CrashWorld::pick(std::size_t count)
+std::size_t CrashSimulation::pick(std::size_t count)
 {
     return static_cast<std::size_t>(between(0, static_cast<std::int64_t>(count) - 1).count());
 }
 
-void CrashWorld::run(Duration duration)
+void CrashSimulation::run(Duration duration)
 {
     const Time until = m_now + duration;
     while (!m_events.empty() && m_events.top().at <= until) {
@@ -184,13 +184,13 @@
     m_now = until;
 }
 
-void CrashWorld::tick(std::size_t instance)
+void CrashSimulation::tick(std::size_t instance)
 {
     step(instance, [&](Relay &relay, RelayActions &actions) { relay.tick(m_now, actions); });
     after(TickEvery, [this, instance] { tick(instance); });
 }
 
-void CrashWorld::arrive()
+void CrashSimulation::arrive()
 {
     Caller caller;
     caller.digest = "harmless " + std::to_string(m_next++);
@@ -201,7 +201,7 @@
     after(Duration(static_cast<std::int64_t>(1'000'000 * gap(m_random))), [this] { arrive(); });
 }
 
-void CrashWorld::arriveCrashing()
+void CrashSimulation::arriveCrashing()
 {
     if (m_now - m_begun >= m_settings.crashingUntil)
         return;
@@ -217,12 +217,12 @@
     after(m_settings.crashingEvery, [this] { arriveCrashing(); });
 }
 
-std::string CrashWorld::crashingDigest() const
+std::string CrashSimulation::crashingDigest() const
 {
     return "ends engines " + std::to_string((m_now - m_begun) / m_settings.crashingChanges);
 }
 
-void CrashWorld::submit(std::size_t instance, Caller caller)
+void CrashSimulation::submit(std::size_t instance, Caller caller)
 {
     RelayRequest request;
     request.id = "request-" + std::to_string(m_next++);
@@ -242,7 +242,7 @@
     act(instance, std::move(actions));
 }
 
-void CrashWorld::act(std::size_t instance, RelayActions actions)
+void CrashSimulation::act(std::size_t instance, RelayActions actions)
 {
     for (const RelayAction &action : actions) {
         if (const auto *sent = std::get_if<SendRequest>(&action))
@@ -269,7 +269,7 @@
     }
 }
 
-void CrashWorld::tell(const CrashUpdate &news)
+void CrashSimulation::tell(const CrashUpdate &news)
 {
     if (m_settings.storeAway)
         return;
@@ -282,7 +282,7 @@
     after(m_settings.newsLag, [this] { learn(); });
 }
 
-void CrashWorld::learn()
+void CrashSimulation::learn()
 {
     for (const auto &relay : m_relays)
         relay->setSharedCrashes(m_told);
@@ -291,7 +291,7 @@
 }
 
 /// \return whether the rows were still as \a change takes them to be.
-bool CrashWorld::write(const TrialChange &change)
+bool CrashSimulation::write(const TrialChange &change)
 {
     if (!m_trials.write(change))
         return false;
@@ -301,7 +301,7 @@
     return true;
 }
 
-void CrashWorld::askTrial(std::size_t instance, const RequestTrial &ask)
+void CrashSimulation::askTrial(std::size_t instance, const RequestTrial &ask)
 {
     const auto answer = [this, instance, ask](const TrialAnswer &given) {
         step(instance, [&](Relay &relay, RelayActions &actions) {
@@ -322,7 +322,7 @@
           });
 }
 
-void CrashWorld::endTrial(std::size_t instance, const FinishTrial &end)
+void CrashSimulation::endTrial(std::size_t instance, const FinishTrial &end)
 {
     const auto change = m_permits[instance].release(end.digest, end.end);
     if (!change)
@@ -333,12 +333,12 @@
     });
 }
 
-std::size_t CrashWorld::engineOf(const std::string &id) const
+std::size_t CrashSimulation::engineOf(const std::string &id) const
 {
     return std::stoul(id.substr(id.find('-') + 1));
 }
 
-void CrashWorld::send(std::size_t instance, const SendRequest &send)
+void CrashSimulation::send(std::size_t instance, const SendRequest &send)
 {
     const auto caller = m_callers[instance].find(send.flight);
     if (caller == m_callers[instance].end())
@@ -367,7 +367,7 @@
 }
 
 /// Until the engine begins a request that arrives now; nothing when it rejects it.
-std::optional<Duration> CrashWorld::readingTime(Engine &engine)
+std::optional<Duration> CrashSimulation::readingTime(Engine &engine)
 {
     if (m_settings.readTime == Duration {})
         return between(40'000, 400'000);
@@ -378,7 +378,7 @@
     return engine.readsUntil - m_now;
 }
 
-void CrashWorld::reject(const std::shared_ptr<Run> &run)
+void CrashSimulation::reject(const std::shared_ptr<Run> &run)
 {
     if (std::exchange(run->over, true) || !m_callers[run->instance].contains(run->flight))
         return;
@@ -391,7 +391,7 @@
 }
 
 /// A caller leaves when no event came since \a eventsLeft were left.
-void CrashWorld::leaveIfSilent(std::size_t instance, FlightId flight, std::uint64_t eventsLeft)
+void CrashSimulation::leaveIfSilent(std::size_t instance, FlightId flight, std::uint64_t eventsLeft)
 {
     const auto caller = m_callers[instance].find(flight);
     if (caller == m_callers[instance].end())
@@ -408,7 +408,7 @@
     });
 }
 
-void CrashWorld::begin(const std::shared_ptr<Run> &run)
+void CrashSimulation::begin(const std::shared_ptr<Run> &run)
 {
     if (run->over || stands(*run))
         return;
@@ -428,7 +428,7 @@
 }
 
 /// Also when the request was given up since the engine began it.
-void CrashWorld::endUnder(const std::shared_ptr<Run> &run)
+void CrashSimulation::endUnder(const std::shared_ptr<Run> &run)
 {
     const bool middle = m_settings.crashKind == CrashKind::EndsMiddle;
     if (stands(*run) || (middle && (run->over || !run->next || m_engines[*run->next].ended)))
@@ -442,12 +442,12 @@
 }
 
 /// Whether the first engine of the run does nothing for it any more.
-bool CrashWorld::stands(const Run &run) const
+bool CrashSimulation::stands(const Run &run) const
 {
     return m_engines[run.engine].ended || m_engines[run.engine].hangs;
 }
 
-void CrashWorld::hang(std::size_t engine)
+void CrashSimulation::hang(std::size_t engine)
 {
     m_engines[engine].hangs = true;
     after(m_settings.silentAfter, [this, engine] {
@@ -464,7 +464,7 @@
 }
 
 /// Runs through it stand still at their first engines.
-void CrashWorld::endMiddle(std::size_t engine)
+void CrashSimulation::endMiddle(std::size_t engine)
 {
     for (const auto &run : m_runs)
         run->stalled = run->stalled || run->next == engine;
@@ -477,7 +477,7 @@
     endEngine(engine);
 }
 
-std::vector<std::string> CrashWorld::stalledAt(std::size_t engine) const
+std::vector<std::string> CrashSimulation::stalledAt(std::size_t engine) const
 {
     std::set<std::string> addresses;
     for (const auto &run : m_runs)
@@ -487,7 +487,7 @@
 }
 
 /// The first engine goes on along the new path.
-void CrashWorld::changePath(std::size_t instance, const ChangePath &change)
+void CrashSimulation::changePath(std::size_t instance, const ChangePath &change)
 {
     after(Network, [this, instance, change] {
         const auto found = std::find_if(m_runs.begin(), m_runs.end(), [&](const auto &run) {
@@ -511,7 +511,7 @@
     });
 }
 
-void CrashWorld::nextEvent(const std::shared_ptr<Run> &run)
+void CrashSimulation::nextEvent(const std::shared_ptr<Run> &run)
 {
     const auto caller = m_callers[run->instance].find(run->flight);
     if (run->over || stands(*run) || run->stalled || caller == m_callers[run->instance].end())
@@ -529,7 +529,7 @@
         after(Duration(100'000), [this, run] { nextEvent(run); });
 }
 
-void CrashWorld::endAnyEngine()
+void CrashSimulation::endAnyEngine()
 {
     std::vector<std::size_t> used;
     for (const auto &run : m_runs)
@@ -539,7 +539,7 @@
         endEngine(used[pick(used.size())]);
 }
 
-void CrashWorld::endEngine(std::size_t engine)
+void CrashSimulation::endEngine(std::size_t engine)
 {
     m_engines[engine].ended = true;
     for (const auto &run : std::vector(m_runs))
@@ -558,7 +558,7 @@
     });
 }
 
-void CrashWorld::fail(const std::shared_ptr<Run> &run, AttemptFailure failure)
+void CrashSimulation::fail(const std::shared_ptr<Run> &run, AttemptFailure failure)
 {
     if (std::exchange(run->over, true) || !m_callers[run->instance].contains(run->flight))
         return;
@@ -567,7 +567,7 @@
     });
 }
 
-void CrashWorld::passed(std::size_t instance, FlightId flight)
+void CrashSimulation::passed(std::size_t instance, FlightId flight)
 {
     const auto caller = m_callers[instance].find(flight);
     m_harmless.passed += caller->second.crashing ? 0 : 1;
@@ -576,7 +576,7 @@
     m_callers[instance].erase(caller);
 }
 
-void CrashWorld::ended(std::size_t instance, const FinishFlight &end)
+void CrashSimulation::ended(std::size_t instance, const FinishFlight &end)
 {
     const auto it = m_callers[instance].find(end.flight);
     Caller caller = it->second;
@@ -593,7 +593,7 @@
         (end.end == FlightOutcome::NotRun ? m_harmless.refused : m_harmless.broken) += 1;
 }
 
-void CrashWorld::ask(std::size_t instance, const QueryEngine &ask)
+void CrashSimulation::ask(std::size_t instance, const QueryEngine &ask)
 {
     after(Network * 2, [this, instance, asked = m_now, endpoint = ask.endpoint] {
         const std::size_t engine = engineOf(endpoint);
@@ -614,7 +614,7 @@
     });
 }
 
-std::vector<Time> CrashWorld::ends() const
+std::vector<Time> CrashSimulation::ends() const
 {
     std::vector<Time> most;
     for (const auto &[digest, ends] : m_ends)
@@ -623,7 +623,7 @@
     return most;
 }
 
-std::size_t CrashWorld::sendsAfterThirdEnd(Duration after) const
+std::size_t CrashSimulation::sendsAfterThirdEnd(Duration after) const
 {
     std::size_t most = 0;
     for (const auto &[digest, ends] : m_ends) {
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -20,7 +20,7 @@
     Hangs, ///< its first engine accepts what comes and answers nothing, until it is restarted
 };
 
-/// Settings of a CrashWorld.
+/// Settings of a CrashSimulation.
 struct CrashWorldSettings
 {
     std::size_t instances = 6;
@@ -52,10 +52,10 @@
 /// Instances with a Relay each, engines that hold the whole model, callers. Each
 /// engine reads a prompt for a while, then sends events; one that ends takes all
 /// that it had along.
-class CrashWorld
+class CrashSimulation
 {
 public:
-    explicit CrashWorld(CrashWorldSettings settings);
+    explicit CrashSimulation(CrashWorldSettings settings);
 
     void run(Duration duration);
 
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -45,7 +45,7 @@
 
 /// A few engines ended before anything could be known, one more for each try that the fleet
 /// permitted, and nobody harmless was held.
-void checkFoundOut(const CrashWorld &world, std::size_t instances)
+void checkFoundOut(const CrashSimulation &world, std::size_t instances)
 {
     INFO(instances << " instances, " << world.ends().size() << " ends");
     const std::size_t tries = world.sendsAfterThirdEnd(KnownEverywhere);
@@ -62,7 +62,7 @@
 {
     CrashWorldSettings settings;
     settings.seed = GENERATE(range(1, 9));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(60));
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
     CHECK(world.ends().size() <= MostEnds);
@@ -78,7 +78,7 @@
     settings.crashingEvery = Duration(1'000'000);
     settings.enginesPerDomain = 2;
     settings.seed = GENERATE(range(1, 9));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(40));
     INFO(world.ends().size() << " ends");
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
@@ -91,7 +91,7 @@
     CrashWorldSettings settings;
     settings.harmlessFor = Duration(13'000'000);
     settings.seed = GENERATE(range(1, 9));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(60));
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) <= MostLateSends);
     CHECK(world.ends().size() <= MostEndsInDoubt);
@@ -104,7 +104,7 @@
     settings.crashingChanges = Duration(15'000'000);
     settings.crashingEvery = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 5));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(60));
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
     CHECK(world.ends().size() <= MostEnds);
@@ -118,7 +118,7 @@
     settings.enginesPerDomain = 20;
     settings.requestsPerSecond = 200;
     settings.crashingEvery = Duration(1'000'000);
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(30));
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
     CHECK(world.ends().size() <= MostEnds);
@@ -132,7 +132,7 @@
     settings.crashingEvery = Duration(100'000);
     settings.crashingRetries = 1;
     settings.seed = GENERATE(range(1, 4));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.suspectTogether(5);
     world.run(seconds(35));
     INFO(settings.instances << " instances, " << world.ends().size() << " ends");
@@ -151,7 +151,7 @@
     settings.instances = GENERATE(6, 76, 295);
     settings.crashingEvery = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 6));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(30));
     checkFoundOut(world, settings.instances);
 }
@@ -165,7 +165,7 @@
     settings.instances = GENERATE(6, 76, 295);
     settings.crashingEvery = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 3));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(25));
     checkFoundOut(world, settings.instances);
 }
@@ -177,7 +177,7 @@
     CrashWorldSettings settings;
     settings.crashingTogether = 3;
     settings.seed = GENERATE(range(1, 9));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(30));
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
     CHECK(world.harmless().quarantined == 0);
@@ -190,7 +190,7 @@
     settings.storeAway = true;
     settings.instances = GENERATE(6, 76, 295);
     settings.crashingEvery = Duration(500'000);
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(40));
     INFO(settings.instances << " instances, " << world.ends().size() << " ends");
     CHECK(world.ends().size() <= MostEnds);
@@ -202,7 +202,7 @@
     CrashWorldSettings settings;
     settings.crashingKind = RequestKind::Unsafe;
     settings.seed = GENERATE(range(1, 5));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(40));
     CHECK(world.ends().size() <= MostEnds);
 }
@@ -212,7 +212,7 @@
 {
     CrashWorldSettings settings;
     settings.seed = GENERATE(range(1, 5));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(7));
     REQUIRE_FALSE(world.ends().empty());
     world.restartInstances();
@@ -229,7 +229,7 @@
     CrashWorldSettings settings;
     settings.crashingUntil = Duration {};
     settings.seed = GENERATE(range(1, 9));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     for (int second = 0; second < 40; ++second) {
         world.run(seconds(1));
         world.endAnyEngine();
@@ -248,7 +248,7 @@
     settings.restart = Duration(8'000'000);
     settings.crashingEvery = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 9));
-    CrashWorld world(settings);
+    CrashSimulation world(settings);
     world.run(seconds(40));
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
     CHECK(world.ends().size() <= MostEnds);
