--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-CrashSimulation::CrashSimulation(CrashWorldSettings settings)
+CrashSimulation::CrashSimulation(CrashSimulationSettings settings)
     : m_settings(settings)
     , m_random(settings.seed)
     , m_relays(settings.instances)
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -21,7 +21,7 @@
 };
 
 /// Settings of a CrashSimulation.
-struct CrashWorldSettings
+struct CrashSimulationSettings
 {
     std::size_t instances = 6;
     std::size_t domains = 3;
@@ -55,7 +55,7 @@
 class CrashSimulation
 {
 public:
-    explicit CrashSimulation(CrashWorldSettings settings);
+    explicit CrashSimulation(CrashSimulationSettings settings);
 
     void run(Duration duration);
 
@@ -183,7 +183,7 @@
     template<typename Step>
     void step(std::size_t instance, Step what);
 
-    CrashWorldSettings m_settings;
+    CrashSimulationSettings m_settings;
     std::mt19937_64 m_random;
     RouteMapPtr m_table;
     Time m_now {std::chrono::hours(1)};
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -60,7 +60,7 @@
 // another.
 TEST_CASE("a request that ends its engines is sent to no more of them after the third")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation world(settings);
     world.run(seconds(60));
@@ -72,7 +72,7 @@
 // sign that the engine was still alive after it broke the guilty one off.
 TEST_CASE("engines whose connections break one after another end under a request all the same")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.requestsPerSecond = 300;
     settings.breakSpread = Duration(3'000);
     settings.crashingEvery = Duration(1'000'000);
@@ -88,7 +88,7 @@
 // Guards against an earlier success that clears a request of all that it does later.
 TEST_CASE("a request that came through before is found out when it ends engines")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.harmlessFor = Duration(13'000'000);
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation world(settings);
@@ -100,7 +100,7 @@
 // Guards against what is left of one such request and keeps the next from being found out.
 TEST_CASE("of several such requests, one after another, each is found out")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.crashingChanges = Duration(15'000'000);
     settings.crashingEvery = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 5));
@@ -113,7 +113,7 @@
 // Guards against as many ends as there are instances that do not know of each other's.
 TEST_CASE("sixty instances send a request that ends its engines to no more than six do")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.instances = 60;
     settings.enginesPerDomain = 20;
     settings.requestsPerSecond = 200;
@@ -127,7 +127,7 @@
 // Guards against a permission that each instance gives alone, at a moment that all share.
 TEST_CASE("hundreds of instances try a request under suspicion no more often than a few do")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.instances = GENERATE(6, 60, 76, 295);
     settings.crashingEvery = Duration(100'000);
     settings.crashingRetries = 1;
@@ -145,7 +145,7 @@
 // lives and answers for them.
 TEST_CASE("a request that ends engines in the middle of its path is found out")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.crashKind = CrashKind::EndsMiddle;
     settings.enginesPerDomain = 8;
     settings.instances = GENERATE(6, 76, 295);
@@ -159,7 +159,7 @@
 // Guards against engines that are silent and not gone, one after another.
 TEST_CASE("a request that hangs its engines is found out")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.crashKind = CrashKind::Hangs;
     settings.restart = Duration(30'000'000);
     settings.instances = GENERATE(6, 76, 295);
@@ -174,7 +174,7 @@
 TEST_CASE(
     "a request that comes at three instances at once is known as soon as one that comes alone")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.crashingTogether = 3;
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation world(settings);
@@ -186,7 +186,7 @@
 // Guards against a domain without the store, where each instance learns by its own ends alone.
 TEST_CASE("instances that cannot reach the store send a request that ends engines to few")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.storeAway = true;
     settings.instances = GENERATE(6, 76, 295);
     settings.crashingEvery = Duration(500'000);
@@ -199,7 +199,7 @@
 // Guards against single attempts, each at another instance, that add up nowhere.
 TEST_CASE("a request that may run once only and ends its engines is found out over its attempts")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.crashingKind = RequestKind::Unsafe;
     settings.seed = GENERATE(range(1, 5));
     CrashSimulation world(settings);
@@ -210,7 +210,7 @@
 // Guards against instances that all begin anew and send the request to three more engines.
 TEST_CASE("what instances know of a request outlasts all of them")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.seed = GENERATE(range(1, 5));
     CrashSimulation world(settings);
     world.run(seconds(7));
@@ -226,7 +226,7 @@
 // Guards against harmless requests that are shut out since engines end by themselves.
 TEST_CASE("engines that end by themselves shut out nobody")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.crashingUntil = Duration {};
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation world(settings);
@@ -241,7 +241,7 @@
 // Guards against a fleet that is busy when engines end, and takes all that wait for guilty.
 TEST_CASE("on a fleet at its limits the request is found out and nobody else is")
 {
-    CrashWorldSettings settings;
+    CrashSimulationSettings settings;
     settings.enginesPerDomain = 3;
     settings.requestsPerSecond = 80;
     settings.readTime = Duration(60'000);
