--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -57,7 +57,7 @@
 
 void CrashSimulation::startInstance(std::size_t instance)
 {
-    RelaySettings settings = RelayWorld::defaults();
+    RelaySettings settings = RelayHarness::defaults();
     settings.domain = "d" + std::to_string(instance % m_settings.domains);
     settings.seed = m_settings.seed * 1000 + m_next++;
     m_relays[instance] = std::make_unique<Relay>(settings);
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -22,7 +22,7 @@
     return model;
 }
 
-RelaySettings RelayWorld::defaults()
+RelaySettings RelayHarness::defaults()
 {
     RelaySettings settings;
     settings.domain = "near";
@@ -30,7 +30,7 @@
     return settings;
 }
 
-RelayWorld::RelayWorld(std::vector<RelayEngine> engines, RelaySettings settings)
+RelayHarness::RelayHarness(std::vector<RelayEngine> engines, RelaySettings settings)
     : relay(std::move(settings))
 {
     relay.setInstances(1, 1, now);
@@ -68,7 +68,7 @@
     tell();
 }
 
-void RelayWorld::tell()
+void RelayHarness::tell()
 {
     auto fleet = std::make_shared<FleetSnapshot>();
     fleet->number = m_next++;
@@ -76,7 +76,7 @@
     relay.follow(fleet, now, actions);
 }
 
-FlightId RelayWorld::submit(RequestKind kind, Duration timeLeft, std::string digest)
+FlightId RelayHarness::submit(RequestKind kind, Duration timeLeft, std::string digest)
 {
     RelayRequest request;
     request.id = "request-" + std::to_string(m_next++);
@@ -91,7 +91,7 @@
     return relay.submit(std::move(request), now, actions);
 }
 
-void RelayWorld::listInstances(const std::vector<PeerInstance> &instances, const std::string &self,
+void RelayHarness::listInstances(const std::vector<PeerInstance> &instances, const std::string &self,
                                Duration clock)
 {
     const auto own = std::find_if(instances.begin(), instances.end(),
@@ -105,7 +105,7 @@
     relay.shareLimits(instances, self, clock, now);
 }
 
-void RelayWorld::pass(Duration duration, Duration step)
+void RelayHarness::pass(Duration duration, Duration step)
 {
     const Time until = now + duration;
     while (now < until) {
@@ -114,7 +114,7 @@
     }
 }
 
-bool RelayWorld::answer(FlightId flight, int status, bool provenExecuted, bool notExecuted,
+bool RelayHarness::answer(FlightId flight, int status, bool provenExecuted, bool notExecuted,
                         std::string_view at)
 {
     AnswerHead head;
@@ -125,28 +125,28 @@
     return relay.answered(flight, sends(flight).back().attempt, head, now, actions);
 }
 
-void RelayWorld::events(FlightId flight, std::uint64_t lastEvent)
+void RelayHarness::events(FlightId flight, std::uint64_t lastEvent)
 {
     relay.eventsPassed(flight, sends(flight).back().attempt, lastEvent, now, actions);
 }
 
-void RelayWorld::fail(FlightId flight, AttemptFailure failure)
+void RelayHarness::fail(FlightId flight, AttemptFailure failure)
 {
     relay.attemptFailed(flight, sends(flight).back().attempt, failure, now, actions);
 }
 
-void RelayWorld::endStream(FlightId flight)
+void RelayHarness::endStream(FlightId flight)
 {
     relay.streamCompleted(flight, sends(flight).back().attempt, now, actions);
 }
 
-void RelayWorld::answerPathChange(FlightId flight, PathReply reply, const std::string &culprit)
+void RelayHarness::answerPathChange(FlightId flight, PathReply reply, const std::string &culprit)
 {
     relay.pathChanged(flight, pathChanges(flight).back().attempt, reply, addressOf(culprit), now,
                       actions);
 }
 
-void RelayWorld::drain(const std::string &id)
+void RelayHarness::drain(const std::string &id)
 {
     for (FleetEndpoint &each : m_endpoints)
         if (each.id == id)
@@ -154,13 +154,13 @@
     tell();
 }
 
-void RelayWorld::remove(const std::string &id)
+void RelayHarness::remove(const std::string &id)
 {
     std::erase_if(m_endpoints, [&](const FleetEndpoint &each) { return each.id == id; });
     tell();
 }
 
-std::string RelayWorld::addressOf(const std::string &id) const
+std::string RelayHarness::addressOf(const std::string &id) const
 {
     for (const FleetEndpoint &each : m_endpoints)
         if (each.id == id)
@@ -183,43 +183,43 @@
 
 } // namespace
 
-std::vector<SendRequest> RelayWorld::sends(FlightId flight) const
+std::vector<SendRequest> RelayHarness::sends(FlightId flight) const
 {
     return actionsOf<SendRequest>(actions, flight);
 }
 
-std::vector<RequestTrial> RelayWorld::trials(FlightId flight) const
+std::vector<RequestTrial> RelayHarness::trials(FlightId flight) const
 {
     return actionsOf<RequestTrial>(actions, flight);
 }
 
-void RelayWorld::answerTrial(FlightId flight, const TrialAnswer &answer)
+void RelayHarness::answerTrial(FlightId flight, const TrialAnswer &answer)
 {
     relay.trialAnswered(flight, trials(flight).back().request, answer, now, actions);
 }
 
-std::vector<ChangePath> RelayWorld::pathChanges(FlightId flight) const
+std::vector<ChangePath> RelayHarness::pathChanges(FlightId flight) const
 {
     return actionsOf<ChangePath>(actions, flight);
 }
 
-std::optional<FinishFlight> RelayWorld::end(FlightId flight) const
+std::optional<FinishFlight> RelayHarness::end(FlightId flight) const
 {
     const auto ends = actionsOf<FinishFlight>(actions, flight);
     return ends.empty() ? std::nullopt : std::make_optional(ends.front());
 }
 
-bool RelayWorld::passed(FlightId flight) const
+bool RelayHarness::passed(FlightId flight) const
 {
     return !actionsOf<PassAnswer>(actions, flight).empty();
 }
 
-std::size_t RelayWorld::abandoned(FlightId flight) const
+std::size_t RelayHarness::abandoned(FlightId flight) const
 {
     return actionsOf<AbandonAttempt>(actions, flight).size();
 }
 
-std::vector<std::string> RelayWorld::asked() const
+std::vector<std::string> RelayHarness::asked() const
 {
     std::vector<std::string> found;
     for (const RelayAction &action : actions)
--- a/src/fakes/relayharness.h
+++ b/src/fakes/relayharness.h
@@ -19,10 +19,10 @@
 };
 
 /// A Relay with its fleet and routes; time moves only when told to.
-class RelayWorld
+class RelayHarness
 {
 public:
-    explicit RelayWorld(std::vector<RelayEngine> engines, RelaySettings settings = defaults());
+    explicit RelayHarness(std::vector<RelayEngine> engines, RelaySettings settings = defaults());
 
     /// Settings with a large budget for one instance.
     static RelaySettings defaults();
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -23,7 +23,7 @@
 /// Sends later than KnownEverywhere that the fleet bears.
 constexpr std::size_t MostLateSends = 3;
 
-FlightId submitBad(RelayWorld &world, RequestKind kind = RequestKind::Stream)
+FlightId submitBad(RelayHarness &world, RequestKind kind = RequestKind::Stream)
 {
     return world.submit(kind, Duration(20'000'000), "bad");
 }
@@ -34,7 +34,7 @@
 }
 
 /// Others saw \a ends endpoints end under the request, a while ago.
-void learnEnds(RelayWorld &world, int ends)
+void learnEnds(RelayHarness &world, int ends)
 {
     std::vector<CrashRecord> told;
     for (int i = 0; i < ends; ++i)
@@ -258,7 +258,7 @@
 // Guards against an endpoint that ends after the request was given up, and breaks nothing off.
 TEST_CASE("a request that is given up as its engine ends is found out")
 {
-    RelayWorld world(wholeEngines());
+    RelayHarness world(wholeEngines());
     const FlightId flight = submitBad(world);
     const std::string engine = world.sends(flight).back().endpoint;
     world.relay.callerGone(flight, world.now, world.actions);
@@ -271,7 +271,7 @@
 // Guards against bytes that came before an engine's end and are read after it.
 TEST_CASE("what an engine sent before it ended is no sign that it lives")
 {
-    RelayWorld world({{"e1", {0, 8}}});
+    RelayHarness world({{"e1", {0, 8}}});
     const FlightId other = world.submit(RequestKind::Stream);
     REQUIRE(world.answer(other, 200));
     const FlightId flight = submitBad(world);
@@ -288,7 +288,7 @@
 // Guards against a lost link, where engines are silent, that is taken for their end.
 TEST_CASE("an engine that only does not answer ended under nothing")
 {
-    RelayWorld world(wholeEngines());
+    RelayHarness world(wholeEngines());
     const FlightId flight = submitBad(world);
     const std::string engine = world.sends(flight).back().endpoint;
     world.fail(flight, AttemptFailure::Broken);
@@ -299,7 +299,7 @@
 // Guards against harmless streams that are suspected of all ends along their path.
 TEST_CASE("an engine in the middle that passed events of a stream on did not end under it")
 {
-    RelayWorld world({{"first", {0, 4}}, {"middle", {4, 8}}, {"other", {4, 8}}});
+    RelayHarness world({{"first", {0, 4}}, {"middle", {4, 8}}, {"other", {4, 8}}});
     const FlightId flight = submitBad(world);
     REQUIRE(world.sends(flight).back().path.size() == 2);
     const std::string middle = world.sends(flight).back().path[1].endpoint;
@@ -317,7 +317,7 @@
 // Guards against a planned stop that is held against the requests that it cuts.
 TEST_CASE("an engine that leaves ends under nothing")
 {
-    RelayWorld world(wholeEngines());
+    RelayHarness world(wholeEngines());
     const FlightId flight = submitBad(world);
     const std::string engine = world.sends(flight).back().endpoint;
     world.drain(engine);
@@ -330,7 +330,7 @@
 // Guards against a caller who waits for nothing, and against a promise that is not true.
 TEST_CASE("a request that is held back is refused at once, as not run if it was not")
 {
-    RelayWorld world(wholeEngines());
+    RelayHarness world(wholeEngines());
     learnEnds(world, 3);
     const FlightId flight = submitBad(world, GENERATE(RequestKind::Stream, RequestKind::Unsafe));
     CHECK(world.sends(flight).empty());
@@ -342,7 +342,7 @@
 // Guards against an engine that is lost to a request which waits there to be run.
 TEST_CASE("a request that waits at an engine is taken back when it becomes known")
 {
-    RelayWorld world(wholeEngines());
+    RelayHarness world(wholeEngines());
     const FlightId flight = submitBad(world);
     REQUIRE(world.sends(flight).size() == 1);
     learnEnds(world, 3);
@@ -354,7 +354,7 @@
 // Guards against callers who lose a stream that runs, since it stood beside others' ends.
 TEST_CASE("a stream that runs well is neither suspected nor taken back")
 {
-    RelayWorld world(wholeEngines());
+    RelayHarness world(wholeEngines());
     const FlightId flight = submitBad(world);
     REQUIRE(world.answer(flight, 200));
     for (std::uint64_t event = 1; event <= 12; ++event) {
@@ -370,7 +370,7 @@
 // Guards against two copies at one instance that each end an engine where one shows enough.
 TEST_CASE("a request under which two engines ended is tried once at a time")
 {
-    RelayWorld world(wholeEngines());
+    RelayHarness world(wholeEngines());
     learnEnds(world, 2);
     const FlightId first = submitBad(world);
     const FlightId second = submitBad(world);
--- a/src/libbalsamloft/ratelimits_test.cpp
+++ b/src/libbalsamloft/ratelimits_test.cpp
@@ -86,7 +86,7 @@
     void list();
     void tellList(std::size_t instance);
 
-    std::vector<std::unique_ptr<RelayWorld>> m_worlds;
+    std::vector<std::unique_ptr<RelayHarness>> m_worlds;
     std::vector<std::optional<Time>> m_diedAt;
     std::vector<std::optional<Time>> m_toldAt;
     std::vector<PeerInstance> m_instances;
@@ -129,10 +129,10 @@
         endpoints.push_back({"e" + std::to_string(i), layered ? LayerRange {0, 8} : LayerRange {},
                              domainOf(i, settings.domains)});
     for (std::size_t i = 0; i < settings.instances; ++i) {
-        RelaySettings relay = RelayWorld::defaults();
+        RelaySettings relay = RelayHarness::defaults();
         relay.domain = domainOf(i, settings.domains);
         relay.seed = settings.seed * 1000 + i;
-        m_worlds.push_back(std::make_unique<RelayWorld>(endpoints, relay));
+        m_worlds.push_back(std::make_unique<RelayHarness>(endpoints, relay));
         m_instances.push_back({"n" + std::to_string(1000 + i), relay.domain, "10.0.0.1:1"});
         m_clocks.push_back(settings.clockError > Duration {}
                                ? Duration(m_random() % settings.clockError.count())
@@ -237,7 +237,7 @@
 {
     if (m_diedAt[call.instance])
         return;
-    RelayWorld &world = *m_worlds[call.instance];
+    RelayHarness &world = *m_worlds[call.instance];
     AnswerHead head;
     head.status = 200;
     head.provenExecuted = true;
@@ -423,7 +423,7 @@
 // Guards against a limit that closes an engine to paths that only pass through it.
 TEST_CASE("an engine that names a limit still runs later parts of paths")
 {
-    RelayWorld world({{"first", {0, 4}}, {"limited", {0, 8}}, {"last", {4, 8}, "far"}});
+    RelayHarness world({{"first", {0, 4}}, {"limited", {0, 8}}, {"last", {4, 8}, "far"}});
     world.listInstances({{"n1", "near", "10.0.0.1:1"}, {"n2", "near", "10.0.0.1:2"}}, "n1");
     std::size_t through = 0;
     for (int request = 0; request < 40; ++request) {
@@ -457,7 +457,7 @@
 // Guards against a count of choices that another service's endpoint has no part in.
 TEST_CASE("a choice counts as limited where an endpoint of its own service was left out")
 {
-    RelayWorld world({{"engine", {0, 8}}, {"call", {}}});
+    RelayHarness world({{"engine", {0, 8}}, {"call", {}}});
     world.listInstances({{"n1", "near", "10.0.0.1:1"}, {"n2", "near", "10.0.0.1:2"}}, "n1");
     const FlightId call = world.submit(RequestKind::Unsafe);
     AnswerHead head;
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -19,7 +19,7 @@
 /// All instances together have \a slack repeats in a window, however many requests.
 RelaySettings onlyRepeats(double slack, Duration window = RelaySettings {}.retryWindow)
 {
-    RelaySettings settings = RelayWorld::defaults();
+    RelaySettings settings = RelayHarness::defaults();
     settings.retryRatio = 0;
     settings.retrySlack = slack;
     settings.retryWindow = window;
@@ -42,7 +42,7 @@
 TEST_CASE("an unsafe call that may have run is never sent again, nor said not to have run")
 {
     const auto failure = GENERATE(AttemptFailure::Broken, AttemptFailure::InvalidAnswer);
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId call = world.submit(RequestKind::Unsafe);
     world.fail(call, failure);
     REQUIRE(world.sends(call).size() == 1);
@@ -55,7 +55,7 @@
 // run it, and when none is left the caller is told that it did not run.
 TEST_CASE("an unsafe call that surely did not run goes elsewhere, then is refused as not run")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId call = world.submit(RequestKind::Unsafe);
     world.fail(call, AttemptFailure::NotSent);
     REQUIRE(world.sends(call).size() == 2);
@@ -69,7 +69,7 @@
 
 TEST_CASE("an unsafe call is sent on a connection that carried nothing before")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     CHECK(world.sends(world.submit(RequestKind::Unsafe)).front().freshConnection);
     CHECK_FALSE(world.sends(world.submit(RequestKind::Safe)).front().freshConnection);
 }
@@ -78,7 +78,7 @@
 // on from another path, after the last one that it got whole.
 TEST_CASE("a broken stream goes on elsewhere after its last whole event")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId stream = world.submit(RequestKind::Stream);
     REQUIRE(world.answer(stream, 200));
     world.events(stream, 7);
@@ -94,7 +94,7 @@
 // Passed on, it would end the caller's stream as if it were complete.
 TEST_CASE("a failure after events were passed breaks the stream off")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId stream = world.submit(RequestKind::Stream);
     REQUIRE(world.answer(stream, 200));
     world.events(stream, 7);
@@ -109,7 +109,7 @@
 // elsewhere: they must change nothing.
 TEST_CASE("what an abandoned attempt still sends changes nothing")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId stream = world.submit(RequestKind::Stream);
     REQUIRE(world.answer(stream, 200));
     world.events(stream, 3);
@@ -125,10 +125,10 @@
 // together may add only so much load, or those left would fail as well.
 TEST_CASE("repeats stay within the budget")
 {
-    RelaySettings settings = RelayWorld::defaults();
+    RelaySettings settings = RelayHarness::defaults();
     settings.retryRatio = 0.1;
     settings.retrySlack = 12;
-    RelayWorld world(twoPaths(), settings);
+    RelayHarness world(twoPaths(), settings);
     world.relay.setInstances(2, 4, world.now);
     std::vector<FlightId> streams;
     for (int i = 0; i < 100; ++i)
@@ -150,7 +150,7 @@
 // broken answer if no repeat was left; the new ones are refused, and come back.
 TEST_CASE("new requests leave repeats for streams that have begun")
 {
-    RelayWorld world(twoPaths(), onlyRepeats(2, milliseconds(3'000)));
+    RelayHarness world(twoPaths(), onlyRepeats(2, milliseconds(3'000)));
     const FlightId stream = world.submit(RequestKind::Stream);
     REQUIRE(world.answer(stream, 200));
     world.events(stream, 4);
@@ -176,7 +176,7 @@
 // caller; the silence passes, and the caller gets the rest.
 TEST_CASE("a stream that may not run again is not broken off for an engine's silence")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId stream = world.submit(RequestKind::Stream);
     REQUIRE(world.answer(stream, 200));
     world.events(stream, 3);
@@ -198,7 +198,7 @@
 // on when the engine does.
 TEST_CASE("a stream that has begun is not given up before there is another path")
 {
-    RelayWorld world({{"one", {0, 4}}, {"two", {4, 8}}});
+    RelayHarness world({{"one", {0, 4}}, {"two", {4, 8}}});
     const FlightId stream = world.submit(RequestKind::Stream);
     REQUIRE(world.answer(stream, 200));
     world.events(stream, 3);
@@ -215,7 +215,7 @@
 // stream goes on elsewhere instead of being broken off.
 TEST_CASE("a stream that has begun waits for a repeat while its caller does")
 {
-    RelayWorld world(twoPaths(), onlyRepeats(1, milliseconds(2'000)));
+    RelayHarness world(twoPaths(), onlyRepeats(1, milliseconds(2'000)));
     const auto begin = [&] {
         const FlightId stream = world.submit(RequestKind::Stream);
         REQUIRE(world.answer(stream, 200));
@@ -240,7 +240,7 @@
 // so their shares may not go to the others before it is over.
 TEST_CASE("the share of an instance that left is not given out again in the same window")
 {
-    RelayWorld world(twoPaths(), onlyRepeats(40));
+    RelayHarness world(twoPaths(), onlyRepeats(40));
     world.relay.setInstances(2, 4, world.now);
     world.submit(RequestKind::Stream); // the budget's own first window begins
     world.pass(milliseconds(11'000));
@@ -265,7 +265,7 @@
 // does not count, since what it ran is lost.
 TEST_CASE("a request runs at no more endpoints than its route allows")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId stream = world.submit(RequestKind::Stream);
     REQUIRE(world.answer(stream, 200));
     world.events(stream, 1);
@@ -281,7 +281,7 @@
 
 TEST_CASE("a caller that leaves cancels its work at once")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId stream = world.submit(RequestKind::Stream);
     world.relay.callerGone(stream, world.now, world.actions);
     CHECK(world.abandoned(stream) == 1);
@@ -292,7 +292,7 @@
 
 TEST_CASE("what is sent again carries the time that is left")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId stream = world.submit(RequestKind::Stream, milliseconds(5000));
     world.pass(milliseconds(200));
     world.fail(stream, AttemptFailure::Broken);
@@ -305,7 +305,7 @@
 // Neither the caller's time nor the route's may pass without an answer.
 TEST_CASE("a request is answered when its time or its route's is over")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId caller = world.submit(RequestKind::Unsafe, milliseconds(800));
     const FlightId route = world.submit(RequestKind::Unsafe, milliseconds(60'000));
     world.pass(milliseconds(850));
@@ -318,7 +318,7 @@
 
 TEST_CASE("a request without a path is refused soon, saying when to come back")
 {
-    RelayWorld world({{"a1", {0, 4}}});
+    RelayHarness world({{"a1", {0, 4}}});
     const FlightId stream = world.submit(RequestKind::Stream);
     world.pass(milliseconds(1000));
     REQUIRE(world.end(stream));
@@ -331,7 +331,7 @@
 /// Twelve streams that have begun, and the last engine of the first one's path.
 struct RunningStreams
 {
-    explicit RunningStreams(RelayWorld &world)
+    explicit RunningStreams(RelayHarness &world)
     {
         for (int i = 0; i < 12; ++i)
             streams.push_back(world.submit(RequestKind::Stream));
@@ -344,7 +344,7 @@
 
     /// Those that do not pass through the dead engine go on; each engine that is
     /// asked says that it does not answer.
-    void pass(RelayWorld &world, int steps) const
+    void pass(RelayHarness &world, int steps) const
     {
         for (int step = 0; step < steps; ++step) {
             world.pass(milliseconds(50));
@@ -368,7 +368,7 @@
 // half a second of its last event, the others stay.
 TEST_CASE("streams through an engine that went silent move, others do not")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const RunningStreams running(world);
     running.pass(world, 8);
     REQUIRE_FALSE(world.asked().empty());
@@ -387,7 +387,7 @@
 // on with no second send, so a dead engine costs none of the few repeats.
 TEST_CASE("a stream whose engine died goes on along another path without being sent again")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const RunningStreams running(world);
     running.pass(world, 8);
     for (const FlightId stream : running.streams) {
@@ -411,7 +411,7 @@
 // The stream may not wait for it until its caller leaves.
 TEST_CASE("a change of path that is not answered ends in another send")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const RunningStreams running(world);
     running.pass(world, 8);
     const FlightId stream = running.streams.front();
@@ -428,7 +428,7 @@
 {
     std::vector<RelayEngine> engines = twoPaths();
     engines.push_back({"c2", {4, 8}});
-    RelayWorld world(engines);
+    RelayHarness world(engines);
     const RunningStreams running(world);
     running.pass(world, 8);
     const FlightId stream = running.streams.front();
@@ -447,7 +447,7 @@
 // is sent again, nobody is refused.
 TEST_CASE("time that the process did not live through is charged to nobody")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     std::vector<FlightId> streams;
     for (int i = 0; i < 6; ++i) {
         streams.push_back(world.submit(RequestKind::Stream));
@@ -468,7 +468,7 @@
 // or the process was paused until the caller's time was over.
 TEST_CASE("right before the bytes leave it is asked again whether they may")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId call = world.submit(RequestKind::Safe, milliseconds(1000));
     const SendRequest send = world.sends(call).back();
     CHECK(world.relay.maySend(call, send.attempt, world.now));
@@ -482,7 +482,7 @@
 // begins to leave: it would get a new request too.
 TEST_CASE("right before the bytes leave all engines of the path are asked for")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId stream = world.submit(RequestKind::Stream);
     const SendRequest send = world.sends(stream).back();
     REQUIRE(world.relay.maySend(stream, send.attempt, world.now));
@@ -493,7 +493,7 @@
 // Also what goes on elsewhere is new work to the engine that gets it.
 TEST_CASE("an engine that leaves gets nothing new, not even a stream that goes on")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId stream = world.submit(RequestKind::Stream);
     REQUIRE(world.answer(stream, 200));
     world.events(stream, 1);
@@ -536,7 +536,7 @@
 // there is time; the caller gets one answer.
 TEST_CASE("a safe call that is not answered goes to another endpoint")
 {
-    RelayWorld world(twoPaths());
+    RelayHarness world(twoPaths());
     const FlightId call = world.submit(RequestKind::Safe);
     world.pass(milliseconds(600));
     REQUIRE(world.sends(call).size() == 2);
@@ -548,7 +548,7 @@
 // Guards against a change that is taken for older than the news that all else is as it was.
 TEST_CASE("an engine's new state is taken though its domain is known to be as told since")
 {
-    RelayWorld world({{"e1", {0, 8}}});
+    RelayHarness world({{"e1", {0, 8}}});
     const auto used = [&] { return world.relay.book().load("e1", "near", world.now).used; };
     const auto told = [&](double tokens, milliseconds age) {
         EngineReports reports;
@@ -569,7 +569,7 @@
 // Guards against a state that counts as unknown since nobody had to tell it again.
 TEST_CASE("an engine's state holds as long as its domain is known to be as told")
 {
-    RelayWorld world({{"e1", {0, 8}}});
+    RelayHarness world({{"e1", {0, 8}}});
     EngineReports reports;
     reports.changed.push_back({"e1", 1000, 1, 0, 1, false, world.now});
     world.relay.applyEngineReports(reports, world.now, world.actions);
@@ -587,7 +587,7 @@
 // Guards against news of an engine's silence that arrive after it was heard again.
 TEST_CASE("late news of silence shut no engine out that has answered since")
 {
-    RelayWorld world({{"engine", {0, 8}}});
+    RelayHarness world({{"engine", {0, 8}}});
     const Time silentAt = world.now;
     world.pass(milliseconds(500));
     EngineState state;
