--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -15,7 +15,7 @@
 
 /// What the request that ends engines does to them.
 enum class CrashKind : std::uint8_t {
-    EndsFirst, ///< the engine on which its path begins ends
+    CrashesFirst, ///< the engine on which its path begins ends
     EndsMiddle, ///< the next one on its path does; the first one lives and waits for it
     Hangs, ///< its first engine accepts what comes and answers nothing, until it is restarted
 };
@@ -33,7 +33,7 @@
     Duration crashingChanges {3'600'000'000}; ///< after which another such request comes instead
     std::size_t crashingTogether = 1; ///< so many of it at once, at different instances
     RequestKind crashingKind = RequestKind::Stream;
-    CrashKind crashKind = CrashKind::EndsFirst;
+    CrashKind crashKind = CrashKind::CrashesFirst;
     std::uint32_t crashingRetries = 0; ///< of its caller, when told to come back
     Duration readTime {0}; ///< of one prompt, one after another; 0: side by side, up to 0.4 s each
     Duration mostWait {4'000'000}; ///< an engine whose work waits longer rejects
