--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -104,7 +104,7 @@
 /// Where engines in the middle of paths end, every other one holds the second half.
 LayerRange CrashSimulation::layersOf(std::size_t number) const
 {
-    if (m_settings.crashKind != CrashKind::EndsMiddle)
+    if (m_settings.crashKind != CrashKind::CrashesMiddle)
         return {0, Layers};
     return number % 2 == 0 ? LayerRange {0, Layers / 2} : LayerRange {Layers / 2, Layers};
 }
@@ -430,7 +430,7 @@
 /// Also when the request was given up since the engine began it.
 void CrashSimulation::endUnder(const std::shared_ptr<Run> &run)
 {
-    const bool middle = m_settings.crashKind == CrashKind::EndsMiddle;
+    const bool middle = m_settings.crashKind == CrashKind::CrashesMiddle;
     if (stands(*run) || (middle && (run->over || !run->next || m_engines[*run->next].ended)))
         return;
     m_ends[run->digest].push_back(m_now);
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -16,7 +16,7 @@
 /// What the request that ends engines does to them.
 enum class CrashKind : std::uint8_t {
     CrashesFirst, ///< the engine on which its path begins ends
-    EndsMiddle, ///< the next one on its path does; the first one lives and waits for it
+    CrashesMiddle, ///< the next one on its path does; the first one lives and waits for it
     Hangs, ///< its first engine accepts what comes and answers nothing, until it is restarted
 };
 
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -146,7 +146,7 @@
 TEST_CASE("a request that ends engines in the middle of its path is found out")
 {
     CrashSimulationSettings settings;
-    settings.crashKind = CrashKind::EndsMiddle;
+    settings.crashKind = CrashKind::CrashesMiddle;
     settings.enginesPerDomain = 8;
     settings.instances = GENERATE(6, 76, 295);
     settings.crashingEvery = Duration(2'000'000);
