--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -52,7 +52,7 @@
         after(between(0, TickEvery.count()), [this, i] { tick(i); });
     }
     after(Duration(1), [this] { arrive(); });
-    after(m_settings.crashingEvery, [this] { arriveCrashing(); });
+    after(m_settings.crashingInterval, [this] { arriveCrashing(); });
 }
 
 void CrashSimulation::startInstance(std::size_t instance)
@@ -214,7 +214,7 @@
         caller.retries = m_settings.crashingRetries;
         submit((first + i) % m_settings.instances, std::move(caller));
     }
-    after(m_settings.crashingEvery, [this] { arriveCrashing(); });
+    after(m_settings.crashingInterval, [this] { arriveCrashing(); });
 }
 
 std::string CrashSimulation::crashingDigest() const
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -27,7 +27,7 @@
     std::size_t domains = 3;
     std::size_t enginesPerDomain = 4;
     double requestsPerSecond = 60; ///< that do no harm, all with different content
-    Duration crashingEvery {4'000'000}; ///< the request that ends engines comes again
+    Duration crashingInterval {4'000'000}; ///< the request that ends engines comes again
     Duration crashingUntil {60'000'000};
     Duration harmlessFor {0}; ///< before that it comes through as others do
     Duration crashingChanges {3'600'000'000}; ///< after which another such request comes instead
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -75,7 +75,7 @@
     CrashSimulationSettings settings;
     settings.requestsPerSecond = 300;
     settings.breakSpread = Duration(3'000);
-    settings.crashingEvery = Duration(1'000'000);
+    settings.crashingInterval = Duration(1'000'000);
     settings.enginesPerDomain = 2;
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation world(settings);
@@ -102,7 +102,7 @@
 {
     CrashSimulationSettings settings;
     settings.crashingChanges = Duration(15'000'000);
-    settings.crashingEvery = Duration(2'000'000);
+    settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 5));
     CrashSimulation world(settings);
     world.run(seconds(60));
@@ -117,7 +117,7 @@
     settings.instances = 60;
     settings.enginesPerDomain = 20;
     settings.requestsPerSecond = 200;
-    settings.crashingEvery = Duration(1'000'000);
+    settings.crashingInterval = Duration(1'000'000);
     CrashSimulation world(settings);
     world.run(seconds(30));
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
@@ -129,7 +129,7 @@
 {
     CrashSimulationSettings settings;
     settings.instances = GENERATE(6, 60, 76, 295);
-    settings.crashingEvery = Duration(100'000);
+    settings.crashingInterval = Duration(100'000);
     settings.crashingRetries = 1;
     settings.seed = GENERATE(range(1, 4));
     CrashSimulation world(settings);
@@ -149,7 +149,7 @@
     settings.crashKind = CrashKind::CrashesMiddle;
     settings.enginesPerDomain = 8;
     settings.instances = GENERATE(6, 76, 295);
-    settings.crashingEvery = Duration(2'000'000);
+    settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 6));
     CrashSimulation world(settings);
     world.run(seconds(30));
@@ -163,7 +163,7 @@
     settings.crashKind = CrashKind::Hangs;
     settings.restart = Duration(30'000'000);
     settings.instances = GENERATE(6, 76, 295);
-    settings.crashingEvery = Duration(2'000'000);
+    settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 3));
     CrashSimulation world(settings);
     world.run(seconds(25));
@@ -189,7 +189,7 @@
     CrashSimulationSettings settings;
     settings.storeAway = true;
     settings.instances = GENERATE(6, 76, 295);
-    settings.crashingEvery = Duration(500'000);
+    settings.crashingInterval = Duration(500'000);
     CrashSimulation world(settings);
     world.run(seconds(40));
     INFO(settings.instances << " instances, " << world.ends().size() << " ends");
@@ -246,7 +246,7 @@
     settings.requestsPerSecond = 80;
     settings.readTime = Duration(60'000);
     settings.restart = Duration(8'000'000);
-    settings.crashingEvery = Duration(2'000'000);
+    settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation world(settings);
     world.run(seconds(40));
