--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -219,7 +219,7 @@
 
 std::string CrashSimulation::crashingDigest() const
 {
-    return "ends engines " + std::to_string((m_now - m_begun) / m_settings.crashingChanges);
+    return "ends engines " + std::to_string((m_now - m_begun) / m_settings.crashingLifetime);
 }
 
 void CrashSimulation::submit(std::size_t instance, Caller caller)
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -30,7 +30,7 @@
     Duration crashingInterval {4'000'000}; ///< the request that ends engines comes again
     Duration crashingUntil {60'000'000};
     Duration harmlessFor {0}; ///< before that it comes through as others do
-    Duration crashingChanges {3'600'000'000}; ///< after which another such request comes instead
+    Duration crashingLifetime {3'600'000'000}; ///< after which another such request comes instead
     std::size_t crashingTogether = 1; ///< so many of it at once, at different instances
     RequestKind crashingKind = RequestKind::Stream;
     CrashKind crashKind = CrashKind::CrashesFirst;
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -101,7 +101,7 @@
 TEST_CASE("of several such requests, one after another, each is found out")
 {
     CrashSimulationSettings settings;
-    settings.crashingChanges = Duration(15'000'000);
+    settings.crashingLifetime = Duration(15'000'000);
     settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 5));
     CrashSimulation world(settings);
