--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -206,7 +206,7 @@
     if (m_now - m_begun >= m_settings.crashingUntil)
         return;
     const auto first = static_cast<std::size_t>(between(0, 1000).count());
-    for (std::size_t i = 0; i < m_settings.crashingTogether; ++i) {
+    for (std::size_t i = 0; i < m_settings.crashingCopies; ++i) {
         Caller caller;
         caller.digest = crashingDigest();
         caller.crashing = m_now - m_begun >= m_settings.harmlessFor;
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -31,7 +31,7 @@
     Duration crashingUntil {60'000'000};
     Duration harmlessFor {0}; ///< before that it comes through as others do
     Duration crashingLifetime {3'600'000'000}; ///< after which another such request comes instead
-    std::size_t crashingTogether = 1; ///< so many of it at once, at different instances
+    std::size_t crashingCopies = 1; ///< so many of it at once, at different instances
     RequestKind crashingKind = RequestKind::Stream;
     CrashKind crashKind = CrashKind::CrashesFirst;
     std::uint32_t crashingRetries = 0; ///< of its caller, when told to come back
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -175,7 +175,7 @@
     "a request that comes at three instances at once is known as soon as one that comes alone")
 {
     CrashSimulationSettings settings;
-    settings.crashingTogether = 3;
+    settings.crashingCopies = 3;
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation world(settings);
     world.run(seconds(30));
