--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -369,12 +369,12 @@
 /// Until the engine begins a request that arrives now; nothing when it rejects it.
 std::optional<Duration> CrashSimulation::readingTime(Engine &engine)
 {
-    if (m_settings.readTime == Duration {})
+    if (m_settings.prefillTime == Duration {})
         return between(40'000, 400'000);
     const Time begins = std::max(engine.readsUntil, m_now);
     if (begins - m_now > m_settings.mostWait)
         return std::nullopt;
-    engine.readsUntil = begins + m_settings.readTime;
+    engine.readsUntil = begins + m_settings.prefillTime;
     return engine.readsUntil - m_now;
 }
 
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -244,7 +244,7 @@
     CrashSimulationSettings settings;
     settings.enginesPerDomain = 3;
     settings.requestsPerSecond = 80;
-    settings.readTime = Duration(60'000);
+    settings.prefillTime = Duration(60'000);
     settings.restart = Duration(8'000'000);
     settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 9));
