--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -372,7 +372,7 @@
     if (m_settings.prefillTime == Duration {})
         return between(40'000, 400'000);
     const Time begins = std::max(engine.readsUntil, m_now);
-    if (begins - m_now > m_settings.mostWait)
+    if (begins - m_now > m_settings.maxWait)
         return std::nullopt;
     engine.readsUntil = begins + m_settings.prefillTime;
     return engine.readsUntil - m_now;
