--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -548,7 +548,7 @@
                 fail(run, run->events > 0 ? AttemptFailure::InvalidAnswer : AttemptFailure::Broken);
             });
     std::erase_if(m_runs, [&](const auto &run) { return run->over || run->engine == engine; });
-    after(m_settings.listLag, [this, engine] {
+    after(m_settings.delistDelay, [this, engine] {
         m_engines[engine].listed = false;
         tellFleet();
     });
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -38,7 +38,7 @@
     Duration prefillTime {0}; ///< of one prompt, one after another; 0: side by side, up to 0.4 s each
     Duration maxWait {4'000'000}; ///< an engine whose work waits longer rejects
     Duration patience {2'000'000}; ///< callers leave after so long without an event
-    Duration listLag {2'900'000}; ///< after which an engine that ended is no longer listed
+    Duration delistDelay {2'900'000}; ///< after which an engine that ended is no longer listed
     Duration restart {3'000'000}; ///< after which another engine takes its place
     Duration silentAfter {1'200'000}; ///< a domain's reader says that an engine is silent
     /// An engine's end breaks its connections one after another, over so long.
