--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -450,7 +450,7 @@
 void CrashSimulation::hang(std::size_t engine)
 {
     m_engines[engine].hangs = true;
-    after(m_settings.silentAfter, [this, engine] {
+    after(m_settings.silenceReportDelay, [this, engine] {
         EngineState silent;
         silent.id = m_engines[engine].id;
         silent.silent = true;
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -40,7 +40,7 @@
     Duration patience {2'000'000}; ///< callers leave after so long without an event
     Duration delistDelay {2'900'000}; ///< after which an engine that ended is no longer listed
     Duration restart {3'000'000}; ///< after which another engine takes its place
-    Duration silentAfter {1'200'000}; ///< a domain's reader says that an engine is silent
+    Duration silenceReportDelay {1'200'000}; ///< a domain's reader says that an engine is silent
     /// An engine's end breaks its connections one after another, over so long.
     Duration breakSpread {0};
     Duration newsLag {700'000}; ///< from one instance to all others
