--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -98,7 +98,7 @@
     for (const auto &run : m_runs)
         run->over = true;
     m_runs.clear();
-    after(m_settings.newsLag, [this] { learn(); });
+    after(m_settings.updateDelay, [this] { learn(); });
 }
 
 /// Where engines in the middle of paths end, every other one holds the second half.
@@ -279,7 +279,7 @@
         std::erase_if(m_told, [&](const CrashRecord &told) {
             return told.digest == each.digest && told.endpoint == each.endpoint;
         });
-    after(m_settings.newsLag, [this] { learn(); });
+    after(m_settings.updateDelay, [this] { learn(); });
 }
 
 void CrashSimulation::learn()
@@ -297,7 +297,7 @@
         return false;
     if (change.crash)
         m_told.push_back(*change.crash);
-    after(m_settings.newsLag, [this] { learn(); });
+    after(m_settings.updateDelay, [this] { learn(); });
     return true;
 }
 
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -43,7 +43,7 @@
     Duration silenceReportDelay {1'200'000}; ///< a domain's reader says that an engine is silent
     /// An engine's end breaks its connections one after another, over so long.
     Duration breakSpread {0};
-    Duration newsLag {700'000}; ///< from one instance to all others
+    Duration updateDelay {700'000}; ///< from one instance to all others
     Duration storeTime {5'000}; ///< of one transaction
     bool storeAway = false; ///< instances learn nothing through it, and it permits no trials
     std::uint64_t seed = 1;
