--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -313,7 +313,7 @@
     const auto decision = m_permits[instance].ask(ask.request, *m_fleet, m_now);
     if (const auto *refused = std::get_if<TrialAnswer>(&decision))
         return after(Duration(1), [answer, given = *refused] { answer(given); });
-    after(m_settings.storeTime,
+    after(m_settings.storeLatency,
           [this, instance, ask, answer, change = std::get<TrialChange>(decision)] {
               TrialPermits &permits = m_permits[instance];
               const bool done = write(change);
@@ -327,7 +327,7 @@
     const auto change = m_permits[instance].release(end.digest, end.end);
     if (!change)
         return;
-    after(m_settings.storeTime, [this, instance, change = *change] {
+    after(m_settings.storeLatency, [this, instance, change = *change] {
         const bool done = write(change);
         m_permits[instance].written(change, done, m_trials.version(), {});
     });
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -44,7 +44,7 @@
     /// An engine's end breaks its connections one after another, over so long.
     Duration breakSpread {0};
     Duration updateDelay {700'000}; ///< from one instance to all others
-    Duration storeTime {5'000}; ///< of one transaction
+    Duration storeLatency {5'000}; ///< of one transaction
     bool storeAway = false; ///< instances learn nothing through it, and it permits no trials
     std::uint64_t seed = 1;
 };
