--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -271,7 +271,7 @@
 
 void CrashSimulation::tell(const CrashUpdate &news)
 {
-    if (m_settings.storeAway)
+    if (m_settings.storeUnreachable)
         return;
     for (const CrashRecord &each : news.added)
         m_told.push_back(each);
@@ -308,7 +308,7 @@
             relay.trialAnswered(ask.flight, ask.request, given, m_now, actions);
         });
     };
-    if (m_settings.storeAway)
+    if (m_settings.storeUnreachable)
         return after(Duration(1), [answer] { answer({.wait = std::chrono::seconds(2)}); });
     const auto decision = m_permits[instance].ask(ask.request, *m_fleet, m_now);
     if (const auto *refused = std::get_if<TrialAnswer>(&decision))
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -45,7 +45,7 @@
     Duration breakSpread {0};
     Duration updateDelay {700'000}; ///< from one instance to all others
     Duration storeLatency {5'000}; ///< of one transaction
-    bool storeAway = false; ///< instances learn nothing through it, and it permits no trials
+    bool storeUnreachable = false; ///< instances learn nothing through it, and it permits no trials
     std::uint64_t seed = 1;
 };
 
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -187,7 +187,7 @@
 TEST_CASE("instances that cannot reach the store send a request that ends engines to few")
 {
     CrashSimulationSettings settings;
-    settings.storeAway = true;
+    settings.storeUnreachable = true;
     settings.instances = GENERATE(6, 76, 295);
     settings.crashingInterval = Duration(500'000);
     CrashSimulation world(settings);
