--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -529,7 +529,7 @@
         after(Duration(100'000), [this, run] { nextEvent(run); });
 }
 
-void CrashSimulation::endAnyEngine()
+void CrashSimulation::crashAnyEngine()
 {
     std::vector<std::size_t> used;
     for (const auto &run : m_runs)
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -60,7 +60,7 @@
     void run(Duration duration);
 
     /// Ends an engine that some request runs on, whatever runs there.
-    void endAnyEngine();
+    void crashAnyEngine();
 
     /// Three engines ended a moment ago under the request that ends them and under
     /// \a others that do no harm, and all instances know. Nothing tells them apart. The
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -232,7 +232,7 @@
     CrashSimulation world(settings);
     for (int second = 0; second < 40; ++second) {
         world.run(seconds(1));
-        world.endAnyEngine();
+        world.crashAnyEngine();
     }
     CHECK(world.harmless().quarantined == 0);
     CHECK(world.harmless().refused == 0);
