--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -70,7 +70,7 @@
     tellFleet();
 }
 
-void CrashSimulation::suspectTogether(std::size_t others)
+void CrashSimulation::addSuspects(std::size_t others)
 {
     std::vector<std::string> digests {crashingDigest()};
     for (std::size_t i = 0; i < others; ++i)
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -65,7 +65,7 @@
     /// Three engines ended a moment ago under the request that ends them and under
     /// \a others that do no harm, and all instances know. Nothing tells them apart. The
     /// callers of all of them come back until they are served.
-    void suspectTogether(std::size_t others);
+    void addSuspects(std::size_t others);
 
     /// Kills all instances; others, which know nothing, take their place.
     void restartInstances();
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -133,7 +133,7 @@
     settings.crashingRetries = 1;
     settings.seed = GENERATE(range(1, 4));
     CrashSimulation world(settings);
-    world.suspectTogether(5);
+    world.addSuspects(5);
     world.run(seconds(35));
     INFO(settings.instances << " instances, " << world.ends().size() << " ends");
     CHECK(world.sendsAfterThirdEnd(KnownEverywhere) <= MostLateSends);
