--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -623,7 +623,7 @@
     return most;
 }
 
-std::size_t CrashSimulation::sendsAfterThirdEnd(Duration after) const
+std::size_t CrashSimulation::sendsAfterThirdCrash(Duration after) const
 {
     std::size_t most = 0;
     for (const auto &[digest, ends] : m_ends) {
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -78,7 +78,7 @@
 
     /// Sends that reached an engine or where one had been, later than \a after the
     /// third end under the same request; the most of one request.
-    std::size_t sendsAfterThirdEnd(Duration after) const;
+    std::size_t sendsAfterThirdCrash(Duration after) const;
 
     /// Requests that do no harm, and how they ended.
     struct Harmless
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -48,7 +48,7 @@
 void checkFoundOut(const CrashSimulation &world, std::size_t instances)
 {
     INFO(instances << " instances, " << world.ends().size() << " ends");
-    const std::size_t tries = world.sendsAfterThirdEnd(KnownEverywhere);
+    const std::size_t tries = world.sendsAfterThirdCrash(KnownEverywhere);
     CHECK(tries <= MostLateSends);
     CHECK(world.ends().size() <= MostEnds + tries);
     CHECK(world.harmless().quarantined == 0);
@@ -64,7 +64,7 @@
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation world(settings);
     world.run(seconds(60));
-    CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
+    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
     CHECK(world.ends().size() <= MostEnds);
 }
 
@@ -81,7 +81,7 @@
     CrashSimulation world(settings);
     world.run(seconds(40));
     INFO(world.ends().size() << " ends");
-    CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
+    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
     CHECK(world.ends().size() <= MostEnds);
 }
 
@@ -93,7 +93,7 @@
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation world(settings);
     world.run(seconds(60));
-    CHECK(world.sendsAfterThirdEnd(KnownEverywhere) <= MostLateSends);
+    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) <= MostLateSends);
     CHECK(world.ends().size() <= MostEndsInDoubt);
 }
 
@@ -106,7 +106,7 @@
     settings.seed = GENERATE(range(1, 5));
     CrashSimulation world(settings);
     world.run(seconds(60));
-    CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
+    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
     CHECK(world.ends().size() <= MostEnds);
 }
 
@@ -120,7 +120,7 @@
     settings.crashingInterval = Duration(1'000'000);
     CrashSimulation world(settings);
     world.run(seconds(30));
-    CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
+    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
     CHECK(world.ends().size() <= MostEnds);
 }
 
@@ -136,7 +136,7 @@
     world.addSuspects(5);
     world.run(seconds(35));
     INFO(settings.instances << " instances, " << world.ends().size() << " ends");
-    CHECK(world.sendsAfterThirdEnd(KnownEverywhere) <= MostLateSends);
+    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) <= MostLateSends);
     CHECK(world.harmless().quarantined == 0);
     CHECK(world.waits().size() == 5);
 }
@@ -179,7 +179,7 @@
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation world(settings);
     world.run(seconds(30));
-    CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
+    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
     CHECK(world.harmless().quarantined == 0);
 }
 
@@ -219,7 +219,7 @@
     world.run(seconds(30));
     world.restartInstances();
     world.run(seconds(30));
-    CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
+    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
     CHECK(world.ends().size() <= MostEnds);
 }
 
@@ -250,7 +250,7 @@
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation world(settings);
     world.run(seconds(40));
-    CHECK(world.sendsAfterThirdEnd(KnownEverywhere) == 0);
+    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
     CHECK(world.ends().size() <= MostEnds);
     CHECK(world.harmless().quarantined == 0);
 }
