--- a/src/bench/layer_experiment.cpp
+++ b/src/bench/layer_experiment.cpp
@@ -44,7 +44,7 @@
     if (FLAGS_vary == "cover_room")
         for (const double room : {0.1, 0.2, 0.4, 0.6, 0.9})
             add("room " + std::to_string(room).substr(0, 3), [&](auto &each) {
-                each.planner.coverRoom = room;
+                each.planner.replicaHeadroom = room;
                 each.requestsPerSecond *= 1.5;
             });
     if (FLAGS_vary == "instances")
--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -16,7 +16,7 @@
 /// Settings of a LayerPlanner.
 struct LayerPlannerSettings
 {
-    double coverRoom = 0.5; ///< memory of a whole copy beyond the model, over the model's
+    double replicaHeadroom = 0.5; ///< memory of a whole copy beyond the model, over the model's
     double leastCoverRoom = 0.12; ///< the same for the last copy
     double leastEngineRoom = 0.06; ///< share of each engine's memory kept for requests
     double freeEngineRoom = 0.15; ///< the same for an engine added to a working plan
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -256,7 +256,7 @@
     for (Engine *each : engines) {
         cover.push_back(each);
         held += each->kind->sizeMegabytes;
-        if (held < whole * (1 + settings.coverRoom))
+        if (held < whole * (1 + settings.replicaHeadroom))
             continue;
         covers.push_back(std::move(cover));
         cover.clear();
