--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -262,7 +262,7 @@
         cover.clear();
         held = 0;
     }
-    if (!cover.empty() && (covers.empty() || held >= whole * (1 + settings.leastCoverRoom)))
+    if (!cover.empty() && (covers.empty() || held >= whole * (1 + settings.minReplicaHeadroom)))
         covers.push_back(std::move(cover));
     return covers;
 }
