--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -239,7 +239,7 @@
         coversOf(engines, model.layers * model.layerMegabytes, settings);
     std::vector<LayerOrder> orders;
     for (const std::vector<Engine *> &cover : covers)
-        layOut(cover, model, covers.size() == 1 ? BareRoom : settings.leastEngineRoom, reason,
+        layOut(cover, model, covers.size() == 1 ? BareRoom : settings.minEngineHeadroom, reason,
                orders);
     return orders;
 }
@@ -323,7 +323,7 @@
         const LayerRange held = each.layers;
         costs.take(each, held);
         const std::vector<std::int64_t> &others = costs.copies();
-        const std::uint32_t most = each.most(model, m_settings.leastEngineRoom);
+        const std::uint32_t most = each.most(model, m_settings.minEngineHeadroom);
         const std::uint32_t usual = each.most(model, m_settings.freeEngineRoom);
         const auto consider = [&](LayerRange range) {
             for (std::uint32_t layer = held.begin; layer < held.end; ++layer)
@@ -362,7 +362,7 @@
 {
     std::vector<GapFiller::Engine> engines;
     for (const Engine &each : group.engines)
-        engines.push_back({each.endpoint, each.layers, each.most(model, m_settings.leastEngineRoom),
+        engines.push_back({each.endpoint, each.layers, each.most(model, m_settings.minEngineHeadroom),
                            each.movable});
     return GapFiller::closesAll(std::move(engines), model.layers);
 }
