--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -21,7 +21,7 @@
     /// it layers at once. Counted from when it is first seen beside a gap.
     Duration emptyGrace {1'500'000};
     double minEngineHeadroom = 0.06; ///< share of each engine's memory kept for requests
-    double freeEngineRoom = 0.15; ///< the same for an engine that held nothing
+    double emptyEngineHeadroom = 0.15; ///< the same for an engine that held nothing
     /// The same for layers that it takes beyond the gap.
     double roomBeyondGap = 0.4;
     Duration orderLife {13'000'000}; ///< an order without an answer may act for so long
--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -19,7 +19,7 @@
     double replicaHeadroom = 0.5; ///< memory of a whole copy beyond the model, over the model's
     double minReplicaHeadroom = 0.12; ///< the same for the last copy
     double minEngineHeadroom = 0.06; ///< share of each engine's memory kept for requests
-    double freeEngineRoom = 0.15; ///< the same for an engine added to a working plan
+    double emptyEngineHeadroom = 0.15; ///< the same for an engine added to a working plan
     /// No new engine for so long before the first plan. Longer than the time in
     /// which each engine writes itself down once: a plan for the first few of them
     /// puts their copy of the model on whichever came first, slow or fast.
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -300,7 +300,7 @@
     });
     Costs costs(group, model);
     for (Engine *each : free) {
-        const std::uint32_t most = each->most(model, m_settings.freeEngineRoom);
+        const std::uint32_t most = each->most(model, m_settings.emptyEngineHeadroom);
         if (most == 0)
             continue;
         const LayerRange best = costs.best(*each, most, {0, model.layers});
@@ -324,7 +324,7 @@
         costs.take(each, held);
         const std::vector<std::int64_t> &others = costs.copies();
         const std::uint32_t most = each.most(model, m_settings.minEngineHeadroom);
-        const std::uint32_t usual = each.most(model, m_settings.freeEngineRoom);
+        const std::uint32_t usual = each.most(model, m_settings.emptyEngineHeadroom);
         const auto consider = [&](LayerRange range) {
             for (std::uint32_t layer = held.begin; layer < held.end; ++layer)
                 if (others[layer] == 0 && (layer < range.begin || layer >= range.end))
