--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -81,7 +81,7 @@
 LayerPlannerSettings plannerSettings(const EntrySettings &settings)
 {
     LayerPlannerSettings planner;
-    planner.settle = settings.beat * 6 / 5;
+    planner.startupDelay = settings.beat * 6 / 5;
     return planner;
 }
 
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -433,7 +433,7 @@
                         [](const Engine &each) { return each.layers.length() == 0; });
         std::vector<LayerOrder> wanted;
         if (empty) {
-            if (now - watch.changedAt >= m_settings.settle)
+            if (now - watch.changedAt >= m_settings.startupDelay)
                 wanted = tile(group, *service.model, m_settings, "no engine holds anything yet");
             if (!wanted.empty())
                 placeFree(group, *service.model, wanted);
