--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -24,7 +24,7 @@
     /// which each engine writes itself down once: a plan for the first few of them
     /// puts their copy of the model on whichever came first, slow or fast.
     Duration startupDelay {1'450'000};
-    Duration gapGrace {700'000}; ///< how long a gap may mend itself
+    Duration gapDelay {700'000}; ///< how long a gap may mend itself
     /// The same for a gap that additions close (GapFiller), which need no lease:
     /// one is found at once and loads for a second or two. Where additions do not
     /// close the gap, waiting so long earned 0.020 ±0.010 less (29 simulated loads).
