--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -28,7 +28,7 @@
     /// The same for a gap that additions close (GapFiller), which need no lease:
     /// one is found at once and loads for a second or two. Where additions do not
     /// close the gap, waiting so long earned 0.020 ±0.010 less (29 simulated loads).
-    Duration additionGrace {3'000'000};
+    Duration additionDelay {3'000'000};
     /// After so long a gap that no moves close leads to a new plan of the domain.
     /// It moves many engines at once, and each of them serves nothing meanwhile:
     /// one that came 0.5 s after the first moves kept a domain without a path for
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -397,7 +397,7 @@
     } else if (!watch.gapSince) {
         watch.gapSince = now;
     } else if (now - *watch.gapSince
-               >= (additionsClose(group, model) ? m_settings.additionGrace : m_settings.gapDelay)) {
+               >= (additionsClose(group, model) ? m_settings.additionDelay : m_settings.gapDelay)) {
         for (int moves = 0; moves < MostMoves && least() == 0; ++moves)
             if (!bestMove(group, model, GapCost / 2, orders, "nobody holds these layers"))
                 break;
