--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -34,7 +34,7 @@
     /// one that came 0.5 s after the first moves kept a domain without a path for
     /// 9 s (traced run); moves take up to 4 s.
     Duration replanAfter {6'000'000};
-    Duration moveEvery {2'500'000}; ///< between two moves that mend no gap
+    Duration moveInterval {2'500'000}; ///< between two moves that mend no gap
     Duration orderLife {13'000'000}; ///< an order without an answer may act for so long
     double leastGain = 120; ///< of a move that mends no gap
 };
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -410,7 +410,7 @@
     }
     if (watch.movedAt == Time {})
         watch.movedAt = now;
-    if (now - watch.movedAt < m_settings.moveEvery || least() == 0)
+    if (now - watch.movedAt < m_settings.moveInterval || least() == 0)
         return;
     watch.movedAt = now;
     bestMove(group, model, m_settings.leastGain, orders, "few copies or little room here");
