--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -35,7 +35,7 @@
     /// 9 s (traced run); moves take up to 4 s.
     Duration replanAfter {6'000'000};
     Duration moveInterval {2'500'000}; ///< between two moves that mend no gap
-    Duration orderLife {13'000'000}; ///< an order without an answer may act for so long
+    Duration orderLifetime {13'000'000}; ///< an order without an answer may act for so long
     double leastGain = 120; ///< of a move that mends no gap
 };
 
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -39,7 +39,7 @@
 
 LayerPlanner::LayerPlanner(LayerPlannerSettings settings)
     : m_settings(settings)
-    , m_orders(settings.orderLife, RefusedFor)
+    , m_orders(settings.orderLifetime, RefusedFor)
 {
 }
 
