--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -36,7 +36,7 @@
     Duration replanAfter {6'000'000};
     Duration moveInterval {2'500'000}; ///< between two moves that mend no gap
     Duration orderLifetime {13'000'000}; ///< an order without an answer may act for so long
-    double leastGain = 120; ///< of a move that mends no gap
+    double minGain = 120; ///< of a move that mends no gap
 };
 
 /// Decides which engines hold which layers, from what they hold now: it keeps
@@ -106,7 +106,7 @@
     bool othersFill(const Group &group, Watch &watch, Time now) const;
     void mend(Group &group, const LayeredModel &model, Watch &watch, Time now,
               std::vector<LayerOrder> &orders);
-    bool bestMove(Group &group, const LayeredModel &model, double leastGain,
+    bool bestMove(Group &group, const LayeredModel &model, double minGain,
                   std::vector<LayerOrder> &orders, std::string_view reason);
     static std::vector<std::uint32_t> copies(const Group &group, const LayeredModel &model);
 
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -310,13 +310,13 @@
     }
 }
 
-bool LayerPlanner::bestMove(Group &group, const LayeredModel &model, double leastGain,
+bool LayerPlanner::bestMove(Group &group, const LayeredModel &model, double minGain,
                             std::vector<LayerOrder> &orders, std::string_view reason)
 {
     Costs costs(group, model);
     Engine *mover = nullptr;
     LayerRange target;
-    double bestCost = costs.all() - leastGain;
+    double bestCost = costs.all() - minGain;
     for (Engine &each : group.engines) {
         if (!each.movable)
             continue;
@@ -413,7 +413,7 @@
     if (now - watch.movedAt < m_settings.moveInterval || least() == 0)
         return;
     watch.movedAt = now;
-    bestMove(group, model, m_settings.leastGain, orders, "few copies or little room here");
+    bestMove(group, model, m_settings.minGain, orders, "few copies or little room here");
 }
 
 std::vector<LayerOrder> LayerPlanner::plan(const FleetSnapshot &fleet, const RoutedService &service,
