--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -88,7 +88,7 @@
      "std::max(size, empty->beyondGap)", "std::max(size, empty->most)",
      "gapfiller_test: an empty engine that takes a gap keeps room for requests"),
     ("an empty engine is left to the lease first", "src/libbalsamloft/gapfiller.cpp",
-     "each.free = each.free && now - since->second >= m_settings.emptyGrace;", "",
+     "each.free = each.free && now - since->second >= m_settings.emptyEngineDelay;", "",
      "gapfiller_test: an engine that comes back during a gap is left to the holder of the lease first"),
     ("runs that were given up count", "src/libbalsamloft/relaycrashes.cpp",
      "m_quarantine.attemptAbandoned(flight.request.digest, flight.endpoint, now);", "(void)now;",
--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -19,7 +19,7 @@
     Duration grace {150'000};
     /// How long an engine that holds nothing is left to whoever holds the lease, who gives
     /// it layers at once. Counted from when it is first seen beside a gap.
-    Duration emptyGrace {1'500'000};
+    Duration emptyEngineDelay {1'500'000};
     double minEngineHeadroom = 0.06; ///< share of each engine's memory kept for requests
     double emptyEngineHeadroom = 0.15; ///< the same for an engine that held nothing
     /// The same for layers that it takes beyond the gap.
--- a/src/libbalsamloft/gapfiller.cpp
+++ b/src/libbalsamloft/gapfiller.cpp
@@ -137,7 +137,7 @@
             continue;
         }
         const auto [since, fresh] = m_emptySince.try_emplace(each.endpoint->id, now);
-        each.free = each.free && now - since->second >= m_settings.emptyGrace;
+        each.free = each.free && now - since->second >= m_settings.emptyEngineDelay;
     }
 }
 
