--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -23,7 +23,7 @@
     double minEngineHeadroom = 0.06; ///< share of each engine's memory kept for requests
     double emptyEngineHeadroom = 0.15; ///< the same for an engine that held nothing
     /// The same for layers that it takes beyond the gap.
-    double roomBeyondGap = 0.4;
+    double beyondGapHeadroom = 0.4;
     Duration orderLifetime {13'000'000}; ///< an order without an answer may act for so long
     Duration refusedFor {600'000}; ///< an engine that refused is told nothing so long
 };
