--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -25,7 +25,7 @@
     /// The same for layers that it takes beyond the gap.
     double beyondGapHeadroom = 0.4;
     Duration orderLifetime {13'000'000}; ///< an order without an answer may act for so long
-    Duration refusedFor {600'000}; ///< an engine that refused is told nothing so long
+    Duration refusalBackoff {600'000}; ///< an engine that refused is told nothing so long
 };
 
 /// Fills layers that nobody in a domain holds: neighbours of the gap grow over
--- a/src/include/balsamloft/layerorders.h
+++ b/src/include/balsamloft/layerorders.h
@@ -30,9 +30,9 @@
 class PendingOrders
 {
 public:
-    /// \a life: an order without an answer may act for so long; \a refusedFor: an
+    /// \a life: an order without an answer may act for so long; \a refusalBackoff: an
     /// engine that refused is told nothing so long.
-    PendingOrders(Duration life, Duration refusedFor);
+    PendingOrders(Duration life, Duration refusalBackoff);
 
     // Commands
 
--- a/src/libbalsamloft/gapfiller.cpp
+++ b/src/libbalsamloft/gapfiller.cpp
@@ -16,7 +16,7 @@
 
 GapFiller::GapFiller(GapFillerSettings settings)
     : m_settings(settings)
-    , m_orders(settings.orderLifetime, settings.refusedFor)
+    , m_orders(settings.orderLifetime, settings.refusalBackoff)
 {
 }
 
--- a/src/libbalsamloft/layerorders.cpp
+++ b/src/libbalsamloft/layerorders.cpp
@@ -7,9 +7,9 @@
     return {endpoint.id, endpoint.name, endpoint.address, layers, std::string(reason)};
 }
 
-PendingOrders::PendingOrders(Duration life, Duration refusedFor)
+PendingOrders::PendingOrders(Duration life, Duration refusalBackoff)
     : m_life(life)
-    , m_refusedFor(refusedFor)
+    , m_refusedFor(refusalBackoff)
 {
 }
 
