--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -26,7 +26,7 @@
 constexpr double ReferencePace = 6;
 constexpr int MostMoves = 12;
 /// How long an engine that refused an order is told nothing.
-constexpr Duration RefusedFor {1'000'000};
+constexpr Duration RefusalBackoff {1'000'000};
 
 std::uint32_t overlap(LayerRange left, LayerRange right)
 {
@@ -39,7 +39,7 @@
 
 LayerPlanner::LayerPlanner(LayerPlannerSettings settings)
     : m_settings(settings)
-    , m_orders(settings.orderLifetime, RefusedFor)
+    , m_orders(settings.orderLifetime, RefusalBackoff)
 {
 }
 
