--- a/src/include/balsamloft/layerorders.h
+++ b/src/include/balsamloft/layerorders.h
@@ -65,7 +65,7 @@
     };
 
     Duration m_life;
-    Duration m_refusedFor;
+    Duration m_refusalBackoff;
     std::map<std::string, Pending, std::less<>> m_pending; ///< by endpoint
 };
 
--- a/src/libbalsamloft/layerorders.cpp
+++ b/src/libbalsamloft/layerorders.cpp
@@ -9,7 +9,7 @@
 
 PendingOrders::PendingOrders(Duration life, Duration refusalBackoff)
     : m_life(life)
-    , m_refusedFor(refusalBackoff)
+    , m_refusalBackoff(refusalBackoff)
 {
 }
 
@@ -31,7 +31,7 @@
         const FleetEndpoint *endpoint = fleet.find(each.first);
         const Pending &pending = each.second;
         return !endpoint || (!endpoint->busy && endpoint->layers == pending.layers)
-               || now - pending.since >= (pending.refused ? m_refusedFor : m_life);
+               || now - pending.since >= (pending.refused ? m_refusalBackoff : m_life);
     });
 }
 
