--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -377,7 +377,7 @@
         logDecision("placement", "coverage",
                     {{"gaps", std::string_view(gaps.first)},
                      {"gaps_everywhere", std::string_view(gaps.second)},
-                     {"held_once", std::int64_t(own.singles())}});
+                     {"held_once", std::int64_t(own.layersHeldOnce())}});
     }
 }
 
--- a/src/include/balsamloft/coverage.h
+++ b/src/include/balsamloft/coverage.h
@@ -27,7 +27,7 @@
     std::uint32_t least() const;
 
     /// Layers that exactly one engine holds.
-    std::uint32_t singles() const;
+    std::uint32_t layersHeldOnce() const;
 
     /// Ranges of layers that nobody holds, as "26-38,70-80"; empty: none.
     std::string gaps() const;
--- a/src/libbalsamloft/coverage.cpp
+++ b/src/libbalsamloft/coverage.cpp
@@ -28,7 +28,7 @@
     return m_copies.empty() ? 0 : *std::min_element(m_copies.begin(), m_copies.end());
 }
 
-std::uint32_t Coverage::singles() const
+std::uint32_t Coverage::layersHeldOnce() const
 {
     return static_cast<std::uint32_t>(std::count(m_copies.begin(), m_copies.end(), 1U));
 }
--- a/src/libbalsamloft/gapfiller_test.cpp
+++ b/src/libbalsamloft/gapfiller_test.cpp
@@ -217,7 +217,7 @@
     const Coverage coverage(domain.fleet, domain.service, "near");
     CHECK(coverage.least() == 0);
     CHECK(coverage.gaps() == "5-7");
-    CHECK(coverage.singles() == 5);
+    CHECK(coverage.layersHeldOnce() == 5);
     CHECK(Coverage(domain.fleet, domain.service, "far").gaps() == "0-8");
 }
 
