--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -235,7 +235,7 @@
 
 void Control::giveOrder(const LayerOrder &order)
 {
-    if (order.adds)
+    if (order.additive)
         m_filler.ordered(order, steadyNow());
     else
         m_planner.ordered(order, steadyNow());
@@ -248,7 +248,7 @@
                    const FleetEndpoint *listed = m_fleetNow->find(order.endpoint);
                    if (outcome.status != 200 || !report || report->busy || !listed
                        || report->ofAnotherThan(*listed)
-                       || (order.adds && !GapFiller::stillAdds(order, report->layers)))
+                       || (order.additive && !GapFiller::stillAdds(order, report->layers)))
                        return orderOutcome(order, OrderReply::Refused, outcome.status);
                    sendOrder(order, report->orders);
                });
@@ -258,7 +258,7 @@
 {
     // Asked again right before the order leaves: a process that was paused has
     // lost the lease meanwhile, and engines do not check the fencing number.
-    if (!order.adds && !m_lease.holds(bootNow()))
+    if (!order.additive && !m_lease.holds(bootNow()))
         return orderOutcome(order, OrderReply::Refused, 0);
     m_state.ordersGiven += 1;
     engineCall(order.endpoint, order.address,
@@ -283,7 +283,7 @@
                  {"reply", Names[static_cast<std::size_t>(reply)]},
                  {"status", std::int64_t(status)},
                  {"fencing", std::int64_t(m_lease.fencing())}});
-    if (reply == OrderReply::Refused && order.adds)
+    if (reply == OrderReply::Refused && order.additive)
         m_filler.refused(order.endpoint, steadyNow());
     else if (reply == OrderReply::Refused)
         m_planner.refused(order.endpoint, steadyNow());
--- a/src/include/balsamloft/layerorders.h
+++ b/src/include/balsamloft/layerorders.h
@@ -18,7 +18,7 @@
     std::string address;
     LayerRange layers;
     std::string reason;
-    bool adds = false; ///< gives nothing up: may be given without the lease
+    bool additive = false; ///< gives nothing up: may be given without the lease
 };
 
 /// The order that \a endpoint hold \a layers.
--- a/src/libbalsamloft/gapfiller.cpp
+++ b/src/libbalsamloft/gapfiller.cpp
@@ -90,7 +90,7 @@
         engine.layers = range;
         engine.free = false;
         orders.push_back(layerOrder(*engine.endpoint, range, reason));
-        orders.back().adds = true;
+        orders.back().additive = true;
     };
     if (down + up >= size) {
         // Both at once, in proportion to their room: the load is over sooner.
--- a/src/libbalsamloft/gapfiller_test.cpp
+++ b/src/libbalsamloft/gapfiller_test.cpp
@@ -90,7 +90,7 @@
     const auto orders = domain.fill(filler, milliseconds(500));
     REQUIRE(orders.size() == 2);
     for (const LayerOrder &order : orders) {
-        CHECK(order.adds);
+        CHECK(order.additive);
         CHECK(order.layers.end - order.layers.begin == 4);
     }
     CHECK(domain.fill(filler, milliseconds(500)).empty());
