--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -236,9 +236,9 @@
 void Control::giveOrder(const LayerOrder &order)
 {
     if (order.additive)
-        m_filler.ordered(order, steadyNow());
+        m_filler.orderSent(order, steadyNow());
     else
-        m_planner.ordered(order, steadyNow());
+        m_planner.orderSent(order, steadyNow());
     // Its present state is read first: the list is a second or two old, and an
     // order is bound to the number of orders that the engine accepted so far.
     engineCall(order.endpoint, order.address, {"GET", std::string(m_protocol.reportTarget()), {}},
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -218,7 +218,7 @@
     void place()
     {
         for (const LayerOrder &order : m_planner.plan(*fleet(), m_service, m_now)) {
-            m_planner.ordered(order, m_now);
+            m_planner.orderSent(order, m_now);
             m_orders += 1;
             const std::size_t index = m_byId[order.endpoint];
             const double share = static_cast<double>(order.layers.end - order.layers.begin)
--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -65,7 +65,7 @@
                                  Time now);
 
     /// The engine took the order, or may have taken it.
-    void ordered(const LayerOrder &order, Time now) { m_orders.ordered(order, now); }
+    void orderSent(const LayerOrder &order, Time now) { m_orders.orderSent(order, now); }
 
     /// The engine did not take the order.
     void refused(const std::string &endpoint, Time now) { m_orders.refused(endpoint, now); }
--- a/src/include/balsamloft/layerorders.h
+++ b/src/include/balsamloft/layerorders.h
@@ -37,7 +37,7 @@
     // Commands
 
     /// The engine took the order, or may have taken it.
-    void ordered(const LayerOrder &order, Time now);
+    void orderSent(const LayerOrder &order, Time now);
 
     /// The engine did not take the order.
     void refused(const std::string &endpoint, Time now);
--- a/src/libbalsamloft/gapfiller_test.cpp
+++ b/src/libbalsamloft/gapfiller_test.cpp
@@ -44,7 +44,7 @@
         now += after;
         std::vector<LayerOrder> orders = filler.fill(fleet, service, "near", silent, now);
         for (const LayerOrder &order : orders)
-            filler.ordered(order, now);
+            filler.orderSent(order, now);
         return orders;
     }
 
--- a/src/libbalsamloft/layerorders.cpp
+++ b/src/libbalsamloft/layerorders.cpp
@@ -13,7 +13,7 @@
 {
 }
 
-void PendingOrders::ordered(const LayerOrder &order, Time now)
+void PendingOrders::orderSent(const LayerOrder &order, Time now)
 {
     m_pending[order.endpoint] = Pending {order.layers, now, false};
 }
--- a/src/libbalsamloft/layerplanner_test.cpp
+++ b/src/libbalsamloft/layerplanner_test.cpp
@@ -49,7 +49,7 @@
             });
             for (const LayerOrder &order : planner.plan(fleet, service, now)) {
                 check(order);
-                planner.ordered(order, now);
+                planner.orderSent(order, now);
                 loading.emplace_back(order, now + milliseconds(500));
                 orders += 1;
             }
@@ -215,7 +215,7 @@
         for (int i = 0; i < steps; ++i) {
             plan.now += milliseconds(100);
             for (const LayerOrder &order : plan.planner.plan(plan.fleet, plan.service, plan.now)) {
-                plan.planner.ordered(order, plan.now);
+                plan.planner.orderSent(order, plan.now);
                 orders += 1;
             }
         }
