--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -284,9 +284,9 @@
                  {"status", std::int64_t(status)},
                  {"fencing", std::int64_t(m_lease.fencing())}});
     if (reply == OrderReply::Refused && order.additive)
-        m_filler.refused(order.endpoint, steadyNow());
+        m_filler.orderRefused(order.endpoint, steadyNow());
     else if (reply == OrderReply::Refused)
-        m_planner.refused(order.endpoint, steadyNow());
+        m_planner.orderRefused(order.endpoint, steadyNow());
 }
 
 } // namespace balsamloft
--- a/src/include/balsamloft/layerorders.h
+++ b/src/include/balsamloft/layerorders.h
@@ -40,7 +40,7 @@
     void orderSent(const LayerOrder &order, Time now);
 
     /// The engine did not take the order.
-    void refused(const std::string &endpoint, Time now);
+    void orderRefused(const std::string &endpoint, Time now);
 
     /// Forgets orders that the engines of \a fleet show as carried out, or that
     /// cannot act any more.
@@ -61,7 +61,7 @@
     {
         LayerRange layers;
         Time since {};
-        bool refused = false;
+        bool orderRefused = false;
     };
 
     Duration m_life;
--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -57,7 +57,7 @@
     void orderSent(const LayerOrder &order, Time now) { m_orders.orderSent(order, now); }
 
     /// The engine did not take the order.
-    void refused(const std::string &endpoint, Time now) { m_orders.refused(endpoint, now); }
+    void orderRefused(const std::string &endpoint, Time now) { m_orders.orderRefused(endpoint, now); }
 
 private:
     /// An engine as the plan sees it.
--- a/src/libbalsamloft/gapfiller_test.cpp
+++ b/src/libbalsamloft/gapfiller_test.cpp
@@ -140,7 +140,7 @@
     REQUIRE_FALSE(first.empty());
     CHECK(domain.fill(filler, milliseconds(3000)).empty());
     for (const LayerOrder &order : first)
-        filler.refused(order.endpoint, domain.now);
+        filler.orderRefused(order.endpoint, domain.now);
     CHECK(domain.fill(filler, milliseconds(100)).empty());
     CHECK_FALSE(domain.fill(filler, milliseconds(1000)).empty());
 }
--- a/src/libbalsamloft/layerorders.cpp
+++ b/src/libbalsamloft/layerorders.cpp
@@ -18,7 +18,7 @@
     m_pending[order.endpoint] = Pending {order.layers, now, false};
 }
 
-void PendingOrders::refused(const std::string &endpoint, Time now)
+void PendingOrders::orderRefused(const std::string &endpoint, Time now)
 {
     const auto it = m_pending.find(endpoint);
     if (it != m_pending.end())
@@ -31,7 +31,7 @@
         const FleetEndpoint *endpoint = fleet.find(each.first);
         const Pending &pending = each.second;
         return !endpoint || (!endpoint->busy && endpoint->layers == pending.layers)
-               || now - pending.since >= (pending.refused ? m_refusalBackoff : m_life);
+               || now - pending.since >= (pending.orderRefused ? m_refusalBackoff : m_life);
     });
 }
 
@@ -40,7 +40,7 @@
     const auto pending = m_pending.find(endpoint.id);
     if (pending == m_pending.end())
         return {endpoint.layers, !endpoint.busy};
-    return {pending->second.refused ? endpoint.layers : pending->second.layers, false};
+    return {pending->second.orderRefused ? endpoint.layers : pending->second.layers, false};
 }
 
 } // namespace balsamloft
