--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -248,7 +248,7 @@
                    const FleetEndpoint *listed = m_fleetNow->find(order.endpoint);
                    if (outcome.status != 200 || !report || report->busy || !listed
                        || report->ofAnotherThan(*listed)
-                       || (order.additive && !GapFiller::stillAdds(order, report->layers)))
+                       || (order.additive && !GapFiller::keepsHeldLayers(order, report->layers)))
                        return orderOutcome(order, OrderReply::Refused, outcome.status);
                    sendOrder(order, report->orders);
                });
--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -75,7 +75,7 @@
     /// Whether \a order still gives nothing up of what its engine holds now. It was
     /// decided from a report that may be a second old: an engine that was moved
     /// since would drop what it has just loaded. To be asked right before it is sent.
-    static bool stillAdds(const LayerOrder &order, LayerRange held);
+    static bool keepsHeldLayers(const LayerOrder &order, LayerRange held);
 
     /// Whether additions to \a engines that hold something would close all gaps in
     /// \a layers layers.
--- a/src/libbalsamloft/gapfiller.cpp
+++ b/src/libbalsamloft/gapfiller.cpp
@@ -121,7 +121,7 @@
     return true;
 }
 
-bool GapFiller::stillAdds(const LayerOrder &order, LayerRange held)
+bool GapFiller::keepsHeldLayers(const LayerOrder &order, LayerRange held)
 {
     return held.length() == 0 || (order.layers.begin <= held.begin && order.layers.end >= held.end);
 }
--- a/src/libbalsamloft/gapfiller_test.cpp
+++ b/src/libbalsamloft/gapfiller_test.cpp
@@ -191,11 +191,11 @@
     REQUIRE_FALSE(orders.empty());
     for (const LayerOrder &order : orders) {
         const LayerRange held = domain.fleet.find(order.endpoint)->layers;
-        CHECK(GapFiller::stillAdds(order, held));
-        CHECK(GapFiller::stillAdds(order, order.layers));
-        CHECK(GapFiller::stillAdds(order, {}));
-        CHECK_FALSE(GapFiller::stillAdds(order, {held.begin + 3, held.end + 3}));
-        CHECK_FALSE(GapFiller::stillAdds(order, {0, 8}));
+        CHECK(GapFiller::keepsHeldLayers(order, held));
+        CHECK(GapFiller::keepsHeldLayers(order, order.layers));
+        CHECK(GapFiller::keepsHeldLayers(order, {}));
+        CHECK_FALSE(GapFiller::keepsHeldLayers(order, {held.begin + 3, held.end + 3}));
+        CHECK_FALSE(GapFiller::keepsHeldLayers(order, {0, 8}));
     }
 }
 
