--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -79,7 +79,7 @@
 
     /// Whether additions to \a engines that hold something would close all gaps in
     /// \a layers layers.
-    static bool closesAll(std::vector<Engine> engines, std::uint32_t layers);
+    static bool canCloseAllGaps(std::vector<Engine> engines, std::uint32_t layers);
 
 private:
     std::vector<Engine> engines(const FleetSnapshot &fleet, const RoutedService &service,
--- a/src/libbalsamloft/gapfiller.cpp
+++ b/src/libbalsamloft/gapfiller.cpp
@@ -110,7 +110,7 @@
     return orders;
 }
 
-bool GapFiller::closesAll(std::vector<Engine> engines, std::uint32_t layers)
+bool GapFiller::canCloseAllGaps(std::vector<Engine> engines, std::uint32_t layers)
 {
     for (Engine &each : engines)
         each.free = each.free && each.layers.length() > 0;
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -364,7 +364,7 @@
     for (const Engine &each : group.engines)
         engines.push_back({each.endpoint, each.layers, each.most(model, m_settings.minEngineHeadroom),
                            each.movable});
-    return GapFiller::closesAll(std::move(engines), model.layers);
+    return GapFiller::canCloseAllGaps(std::move(engines), model.layers);
 }
 
 /// Whether an engine that holds nothing carries out an order that was not given here.
