--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -89,7 +89,7 @@
                                std::uint32_t from);
     static std::vector<LayerOrder> close(std::vector<Engine> &engines, LayerRange gap,
                                          std::uint32_t layers);
-    void noteEmpty(std::vector<Engine> &engines, Time now);
+    void delayEmptyEngines(std::vector<Engine> &engines, Time now);
 
     GapFillerSettings m_settings;
     PendingOrders m_orders;
--- a/src/libbalsamloft/gapfiller.cpp
+++ b/src/libbalsamloft/gapfiller.cpp
@@ -129,7 +129,7 @@
 /// An engine that has only just been seen without layers is told nothing. The holder of
 /// the lease sees it too; were both to give it layers, neither would know of the other's
 /// order, and one of them would close the gap again with engines that are needed elsewhere.
-void GapFiller::noteEmpty(std::vector<Engine> &engines, Time now)
+void GapFiller::delayEmptyEngines(std::vector<Engine> &engines, Time now)
 {
     for (Engine &each : engines) {
         if (each.layers.length() > 0) {
@@ -160,7 +160,7 @@
             m_emptySince.erase(each.endpoint->id);
         return orders;
     }
-    noteEmpty(all, now);
+    delayEmptyEngines(all, now);
     const auto [since, fresh] = m_gapSince.try_emplace(service.name, now);
     if (now - since->second < m_settings.grace)
         return orders;
