--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -96,7 +96,7 @@
     static std::vector<LayerOrder> tile(Group &group, const LayeredModel &model,
                                         const LayerPlannerSettings &settings,
                                         std::string_view reason);
-    static std::vector<std::vector<Engine *>> coversOf(const std::vector<Engine *> &engines,
+    static std::vector<std::vector<Engine *>> splitIntoReplicas(const std::vector<Engine *> &engines,
                                                        double whole,
                                                        const LayerPlannerSettings &settings);
     static void layOut(const std::vector<Engine *> &cover, const LayeredModel &model, double room,
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -236,7 +236,7 @@
                < std::tie(right->kind->pace, right->layers.begin, right->endpoint->id);
     });
     std::vector<std::vector<Engine *>> covers =
-        coversOf(engines, model.layers * model.layerMegabytes, settings);
+        splitIntoReplicas(engines, model.layers * model.layerMegabytes, settings);
     std::vector<LayerOrder> orders;
     for (const std::vector<Engine *> &cover : covers)
         layOut(cover, model, covers.size() == 1 ? BareRoom : settings.minEngineHeadroom, reason,
@@ -247,7 +247,7 @@
 /// Engines, fastest first, cut into covers that keep room for requests. What is
 /// left over and cannot hold the model stays out, to double single layers.
 std::vector<std::vector<LayerPlanner::Engine *>>
-LayerPlanner::coversOf(const std::vector<Engine *> &engines, double whole,
+LayerPlanner::splitIntoReplicas(const std::vector<Engine *> &engines, double whole,
                        const LayerPlannerSettings &settings)
 {
     std::vector<std::vector<Engine *>> covers;
