--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -99,7 +99,7 @@
     static std::vector<std::vector<Engine *>> splitIntoReplicas(const std::vector<Engine *> &engines,
                                                        double whole,
                                                        const LayerPlannerSettings &settings);
-    static void layOut(const std::vector<Engine *> &cover, const LayeredModel &model, double room,
+    static void assignLayers(const std::vector<Engine *> &cover, const LayeredModel &model, double room,
                        std::string_view reason, std::vector<LayerOrder> &orders);
     void placeFree(Group &group, const LayeredModel &model, std::vector<LayerOrder> &orders);
     bool additionsClose(const Group &group, const LayeredModel &model) const;
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -239,7 +239,7 @@
         splitIntoReplicas(engines, model.layers * model.layerMegabytes, settings);
     std::vector<LayerOrder> orders;
     for (const std::vector<Engine *> &cover : covers)
-        layOut(cover, model, covers.size() == 1 ? BareRoom : settings.minEngineHeadroom, reason,
+        assignLayers(cover, model, covers.size() == 1 ? BareRoom : settings.minEngineHeadroom, reason,
                orders);
     return orders;
 }
@@ -267,7 +267,7 @@
     return covers;
 }
 
-void LayerPlanner::layOut(const std::vector<Engine *> &cover, const LayeredModel &model,
+void LayerPlanner::assignLayers(const std::vector<Engine *> &cover, const LayeredModel &model,
                           double room, std::string_view reason, std::vector<LayerOrder> &orders)
 {
     std::vector<double> sizes;
