--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -102,7 +102,7 @@
     static void assignLayers(const std::vector<Engine *> &cover, const LayeredModel &model, double room,
                        std::string_view reason, std::vector<LayerOrder> &orders);
     void placeFree(Group &group, const LayeredModel &model, std::vector<LayerOrder> &orders);
-    bool additionsClose(const Group &group, const LayeredModel &model) const;
+    bool additionsCanClose(const Group &group, const LayeredModel &model) const;
     bool othersFill(const Group &group, Watch &watch, Time now) const;
     void mend(Group &group, const LayeredModel &model, Watch &watch, Time now,
               std::vector<LayerOrder> &orders);
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -358,7 +358,7 @@
     return true;
 }
 
-bool LayerPlanner::additionsClose(const Group &group, const LayeredModel &model) const
+bool LayerPlanner::additionsCanClose(const Group &group, const LayeredModel &model) const
 {
     std::vector<GapFiller::Engine> engines;
     for (const Engine &each : group.engines)
@@ -397,7 +397,7 @@
     } else if (!watch.gapSince) {
         watch.gapSince = now;
     } else if (now - *watch.gapSince
-               >= (additionsClose(group, model) ? m_settings.additionDelay : m_settings.gapDelay)) {
+               >= (additionsCanClose(group, model) ? m_settings.additionDelay : m_settings.gapDelay)) {
         for (int moves = 0; moves < MostMoves && least() == 0; ++moves)
             if (!bestMove(group, model, GapCost / 2, orders, "nobody holds these layers"))
                 break;
