--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -103,7 +103,7 @@
                        std::string_view reason, std::vector<LayerOrder> &orders);
     void placeFree(Group &group, const LayeredModel &model, std::vector<LayerOrder> &orders);
     bool additionsCanClose(const Group &group, const LayeredModel &model) const;
-    bool othersFill(const Group &group, Watch &watch, Time now) const;
+    bool filledByOthers(const Group &group, Watch &watch, Time now) const;
     void mend(Group &group, const LayeredModel &model, Watch &watch, Time now,
               std::vector<LayerOrder> &orders);
     bool bestMove(Group &group, const LayeredModel &model, double minGain,
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -370,7 +370,7 @@
 /// Whether an engine that holds nothing carries out an order that was not given here.
 /// What it is to hold is not told; moved over its gap as well, other engines give up
 /// layers that are needed.
-bool LayerPlanner::othersFill(const Group &group, Watch &watch, Time now) const
+bool LayerPlanner::filledByOthers(const Group &group, Watch &watch, Time now) const
 {
     const bool fill =
         std::any_of(group.engines.begin(), group.engines.end(),
@@ -389,7 +389,7 @@
         const std::vector<std::uint32_t> counts = copies(group, model);
         return counts.empty() ? 0 : *std::min_element(counts.begin(), counts.end());
     };
-    const bool filled = othersFill(group, watch, now);
+    const bool filled = filledByOthers(group, watch, now);
     if (least() > 0) {
         watch.gapSince.reset();
     } else if (filled) {
