--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -25,7 +25,7 @@
 {
     std::vector<PathPart> parts;
     std::string domain; ///< of the first engine
-    double gapMs = 0; ///< expected between two events
+    double eventIntervalMs = 0; ///< expected between two events
     double firstMs = 0; ///< expected until the first event
     bool full = false; ///< an engine of it has no room, by its own word or by far
 };
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -358,11 +358,11 @@
         const Candidate &each = best->candidate(index);
         path.parts.push_back({each.endpoint->id, each.endpoint->address, layers});
         const double count = layers.length();
-        path.gapMs += count * each.passMs + m_settings.hopMs;
+        path.eventIntervalMs += count * each.passMs + m_settings.hopMs;
         path.firstMs += count * each.readMs;
         path.full = path.full || each.full;
     }
-    path.firstMs += path.gapMs;
+    path.firstMs += path.eventIntervalMs;
     path.domain = fleet.find(path.parts.front().endpoint)->domain;
     return path;
 }
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -184,7 +184,7 @@
 void Relay::expect(Flight &flight, const EnginePath &path)
 {
     flight.domain = path.domain;
-    flight.expectedGap = Duration(static_cast<std::int64_t>(path.gapMs * 1000));
+    flight.expectedGap = Duration(static_cast<std::int64_t>(path.eventIntervalMs * 1000));
     flight.expectedFirst = Duration(static_cast<std::int64_t>(path.firstMs * 1000));
 }
 
