--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -26,7 +26,7 @@
     std::vector<PathPart> parts;
     std::string domain; ///< of the first engine
     double eventIntervalMs = 0; ///< expected between two events
-    double firstMs = 0; ///< expected until the first event
+    double firstEventMs = 0; ///< expected until the first event
     bool full = false; ///< an engine of it has no room, by its own word or by far
 };
 
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -359,10 +359,10 @@
         path.parts.push_back({each.endpoint->id, each.endpoint->address, layers});
         const double count = layers.length();
         path.eventIntervalMs += count * each.passMs + m_settings.hopMs;
-        path.firstMs += count * each.readMs;
+        path.firstEventMs += count * each.readMs;
         path.full = path.full || each.full;
     }
-    path.firstMs += path.eventIntervalMs;
+    path.firstEventMs += path.eventIntervalMs;
     path.domain = fleet.find(path.parts.front().endpoint)->domain;
     return path;
 }
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -185,7 +185,7 @@
 {
     flight.domain = path.domain;
     flight.expectedGap = Duration(static_cast<std::int64_t>(path.eventIntervalMs * 1000));
-    flight.expectedFirst = Duration(static_cast<std::int64_t>(path.firstMs * 1000));
+    flight.expectedFirst = Duration(static_cast<std::int64_t>(path.firstEventMs * 1000));
 }
 
 double Relay::endpointCost(const FleetEndpoint &endpoint, const std::set<std::string> &avoid,
