--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -39,7 +39,7 @@
     /// are worth on time, 87 instances earned 0.59 against 0.65 at 2 (means of
     /// three simulated loads with faults, one run each).
     double otherDomainFactor = 2;
-    double otherDomainMs = 40;
+    double otherDomainPenaltyMs = 40;
     /// Cost of a change of domain inside a path, beside the pipe's time. Of a model
     /// that lies once in each domain, one dead engine leaves a domain without a
     /// path; two crossings borrow its layers, and the domain's other engines go on
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -340,7 +340,7 @@
     }
     const bool ownFound = best.has_value();
     for (auto &[domain, engines] : domains)
-        attempt(std::move(engines), m_settings.otherDomainFactor, m_settings.otherDomainMs);
+        attempt(std::move(engines), m_settings.otherDomainFactor, m_settings.otherDomainPenaltyMs);
     // Parts in several domains: a path through most of the own domain loads the
     // others less than one that lies in another domain altogether.
     if (!ownFound)
