--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -49,7 +49,7 @@
     /// Share of a pipe's time up to which paths go through it. Transfers go one
     /// after another, so beyond it each one waits for many others: only dearer
     /// beyond half instead of closed earned 0.029 ±0.010 less (24 loads).
-    double mostPipeLoad = 0.5;
+    double maxLinkLoad = 0.5;
     /// Spread of what instances take an engine's cost for: the standard deviation of
     /// its logarithm is this times the root of the instances that choose there.
     /// All of them see the same loads, up to a second old. Were their choices as
