--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -140,7 +140,7 @@
 
     /// Share of the time that the pipe between two domains is believed to be in
     /// use: own requests of late, times the instances.
-    double pipeLoad(std::string_view from, std::string_view to, Time now) const;
+    double linkLoad(std::string_view from, std::string_view to, Time now) const;
 
     const EngineBelief *find(std::string_view id) const;
     bool suspected(std::string_view id, Time now) const;
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -142,7 +142,7 @@
     use.at = now;
 }
 
-double EngineBook::pipeLoad(std::string_view from, std::string_view to, Time now) const
+double EngineBook::linkLoad(std::string_view from, std::string_view to, Time now) const
 {
     const auto ordered = std::minmax(from, to);
     const auto it =
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -313,7 +313,7 @@
     Crossings crossings(all);
     const double pipeMs = model.crossingMs(query.promptTokens);
     crossings.fill([&](std::string_view from, std::string_view to) {
-        const double load = book.pipeLoad(from, to, now);
+        const double load = book.linkLoad(from, to, now);
         if (load >= m_settings.maxLinkLoad)
             return NoCost;
         return m_settings.crossingMs + 2 * pipeMs / (1 - load);
--- a/src/libbalsamloft/pathchooser_test.cpp
+++ b/src/libbalsamloft/pathchooser_test.cpp
@@ -149,9 +149,9 @@
                               engine("3", {0, 24}, "far", "slow")};
     CHECK(choice()->parts.size() == 3);
     choice.book.crossed("near", "far", 200, Now);
-    CHECK(choice.book.pipeLoad("far", "near", Now) > 0.5);
+    CHECK(choice.book.linkLoad("far", "near", Now) > 0.5);
     CHECK(choice()->parts.size() == 1);
     choice.fleet.endpoints.back() = engine("3", {10, 18}, "far", "slow");
     CHECK(choice()); // rather a full pipe than no service
-    CHECK(choice.book.pipeLoad("near", "far", Now + std::chrono::seconds(5)) < 0.05);
+    CHECK(choice.book.linkLoad("near", "far", Now + std::chrono::seconds(5)) < 0.05);
 }
