--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -59,7 +59,7 @@
     /// with it, of 4,451 requests, and 0.98 instead of 0.85 were on time (emulated
     /// fleet of 190 engines, 6 s, costs in proportion to time). Few instances see
     /// enough of the load themselves.
-    double spreadByRoot = 0.06;
+    double costNoisePerRoot = 0.06;
     double mostSpread = 0.5; ///< beyond it, slow paths are chosen for no reason
     /// Time of a path that costs just that. Slower ones cost less than their time and
     /// faster ones more: by its root, since an answer on time is worth no less than a
@@ -80,7 +80,7 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t answerTokens = 0; ///< expected
     const std::set<std::string> *without = nullptr; ///< ids not to be used
-    double leastSpread = 0; ///< of what engines are taken for, see PathSettings::spreadByRoot
+    double leastSpread = 0; ///< of what engines are taken for, see PathSettings::costNoisePerRoot
     const PathPart *first = nullptr; ///< the path must begin with this part; null: with any
     const std::set<std::string> *notFirst = nullptr; ///< ids that no path may begin with
 };
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -292,7 +292,7 @@
 double PathChooser::spread(double instances) const
 {
     return std::min(m_settings.mostSpread,
-                    m_settings.spreadByRoot * std::sqrt(std::max(1.0, instances)));
+                    m_settings.costNoisePerRoot * std::sqrt(std::max(1.0, instances)));
 }
 
 std::optional<EnginePath> PathChooser::choose(const FleetSnapshot &fleet,
