--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -60,7 +60,7 @@
     /// fleet of 190 engines, 6 s, costs in proportion to time). Few instances see
     /// enough of the load themselves.
     double costNoisePerRoot = 0.06;
-    double mostSpread = 0.5; ///< beyond it, slow paths are chosen for no reason
+    double maxCostNoise = 0.5; ///< beyond it, slow paths are chosen for no reason
     /// Time of a path that costs just that. Slower ones cost less than their time and
     /// faster ones more: by its root, since an answer on time is worth no less than a
     /// faster one. In proportion to time, nearly all requests of a domain went to its
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -291,7 +291,7 @@
 
 double PathChooser::spread(double instances) const
 {
-    return std::min(m_settings.mostSpread,
+    return std::min(m_settings.maxCostNoise,
                     m_settings.costNoisePerRoot * std::sqrt(std::max(1.0, instances)));
 }
 
