--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -80,7 +80,7 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t answerTokens = 0; ///< expected
     const std::set<std::string> *without = nullptr; ///< ids not to be used
-    double leastSpread = 0; ///< of what engines are taken for, see PathSettings::costNoisePerRoot
+    double minCostNoise = 0; ///< of what engines are taken for, see PathSettings::costNoisePerRoot
     const PathPart *first = nullptr; ///< the path must begin with this part; null: with any
     const std::set<std::string> *notFirst = nullptr; ///< ids that no path may begin with
 };
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -150,7 +150,7 @@
     query.first = flight.trial.state == Trial::State::Granted && flight.trial.first
                       ? &*flight.trial.first
                       : nullptr;
-    query.leastSpread = flight.cutEarly ? m_settings.rerouteSpread : 0;
+    query.minCostNoise = flight.cutEarly ? m_settings.rerouteSpread : 0;
     const std::set<std::string> closed = beyondLimit(flight, now);
     query.notFirst = &closed;
     auto path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
--- a/src/libbalsamloft/relaypath.cpp
+++ b/src/libbalsamloft/relaypath.cpp
@@ -24,7 +24,7 @@
     query.promptTokens = flight.request.promptTokens;
     query.answerTokens = flight.request.answerTokens;
     query.first = &first;
-    query.leastSpread = flight.cutEarly ? m_settings.rerouteSpread : 0;
+    query.minCostNoise = flight.cutEarly ? m_settings.rerouteSpread : 0;
     auto path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
     if (!path || path->full || path->parts == flight.path)
         return false;
