--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -275,7 +275,7 @@
             candidate.fullness > (load.reported ? settings.mostReported : settings.mostEstimated);
         candidate.readMs = model.readMs(*kind, query.promptTokens, 1);
         candidate.passMs = model.stride * step * pace / model.layers;
-        candidate.factor = 1 + settings.fullWeight * std::pow(std::min(candidate.fullness, 3.0), 4)
+        candidate.factor = 1 + settings.fullnessWeight * std::pow(std::min(candidate.fullness, 3.0), 4)
                            + 2 * book.failureShare(each.id, now);
         found.push_back(candidate);
     }
