--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -69,7 +69,7 @@
     /// faults 0.64 instead of 0.38 of what callers' requests are worth was earned.
     double referenceMs = 800;
     double fullnessWeight = 2; ///< how dear a nearly full engine is
-    double mostReported = 2; ///< fullness by an engine's own word up to which it is used
+    double maxReportedFullness = 2; ///< fullness by an engine's own word up to which it is used
     double mostEstimated = 3; ///< the same where only own work is known
 };
 
