--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -70,7 +70,7 @@
     double referenceMs = 800;
     double fullnessWeight = 2; ///< how dear a nearly full engine is
     double maxReportedFullness = 2; ///< fullness by an engine's own word up to which it is used
-    double mostEstimated = 3; ///< the same where only own work is known
+    double maxEstimatedFullness = 3; ///< the same where only own work is known
 };
 
 /// What a request needs.
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -272,7 +272,7 @@
                                   : 0;
         candidate.fullness = (load.used + growth + need) / room;
         candidate.full =
-            candidate.fullness > (load.reported ? settings.maxReportedFullness : settings.mostEstimated);
+            candidate.fullness > (load.reported ? settings.maxReportedFullness : settings.maxEstimatedFullness);
         candidate.readMs = model.readMs(*kind, query.promptTokens, 1);
         candidate.passMs = model.stride * step * pace / model.layers;
         candidate.factor = 1 + settings.fullnessWeight * std::pow(std::min(candidate.fullness, 3.0), 4)
