--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -82,7 +82,7 @@
     const std::set<std::string> *without = nullptr; ///< ids not to be used
     double minCostNoise = 0; ///< of what engines are taken for, see PathSettings::costNoisePerRoot
     const PathPart *first = nullptr; ///< the path must begin with this part; null: with any
-    const std::set<std::string> *notFirst = nullptr; ///< ids that no path may begin with
+    const std::set<std::string> *excludedAsFirst = nullptr; ///< ids that no path may begin with
 };
 
 /// Chooses paths by the time that a request will take, from the published
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -263,7 +263,7 @@
         const double room = std::max(1.0, model.room(*kind, held));
         Candidate candidate;
         candidate.endpoint = &each;
-        candidate.mayBegin = !query.notFirst || !query.notFirst->contains(each.id);
+        candidate.mayBegin = !query.excludedAsFirst || !query.excludedAsFirst->contains(each.id);
         // What runs goes on growing; what waits takes its place first.
         const double growth = load.reported
                                   ? (load.streams * model.usualAnswer / 2
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -152,7 +152,7 @@
                       : nullptr;
     query.minCostNoise = flight.cutEarly ? m_settings.rerouteSpread : 0;
     const std::set<std::string> closed = beyondLimit(flight, now);
-    query.notFirst = &closed;
+    query.excludedAsFirst = &closed;
     auto path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
     if (!path && !without.empty()) {
         // Rather an engine that failed it once than none at all.
