--- a/src/include/balsamloft/loadview.h
+++ b/src/include/balsamloft/loadview.h
@@ -31,7 +31,7 @@
     Duration reportLifetime {2'000'000}; ///< how long a report of others' load is believed
     Duration reportLag {1'000'000}; ///< longest that a report may be under way
     Duration initialBusyPause {50'000}; ///< after "no room", before more than before is tried
-    Duration longestBusyPause {1'000'000};
+    Duration maxBusyPause {1'000'000};
     Duration firstEjection {1'000'000};
     Duration longestEjection {30'000'000};
     std::uint32_t failuresToEject = 3; ///< consecutive failures; a silent endpoint needs one
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -110,7 +110,7 @@
     EndpointState &state = m_states[id];
     state.window = state.own > 0 ? state.own - 1 : 0; // the one refused is still counted
     state.pausedUntil =
-        now + doubled(m_settings.initialBusyPause, state.busyInRow++, m_settings.longestBusyPause);
+        now + doubled(m_settings.initialBusyPause, state.busyInRow++, m_settings.maxBusyPause);
 }
 
 void LoadView::accepted(EndpointId id)
