--- a/src/include/balsamloft/loadview.h
+++ b/src/include/balsamloft/loadview.h
@@ -33,7 +33,7 @@
     Duration initialBusyPause {50'000}; ///< after "no room", before more than before is tried
     Duration maxBusyPause {1'000'000};
     Duration initialEjection {1'000'000};
-    Duration longestEjection {30'000'000};
+    Duration maxEjection {30'000'000};
     std::uint32_t failuresToEject = 3; ///< consecutive failures; a silent endpoint needs one
     double ejectableFraction = 0.5; ///< of one candidate group: ejection never empties it
 };
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -158,7 +158,7 @@
     if (!silent && state.consecutiveFailures < m_settings.failuresToEject)
         return false;
     const Duration backoff =
-        doubled(m_settings.initialEjection, state.ejections, m_settings.longestEjection);
+        doubled(m_settings.initialEjection, state.ejections, m_settings.maxEjection);
     // Only a probe ends it: with time alone, callers' requests would be what
     // finds out, again and again, that it is still gone.
     ++state.ejections;
