--- a/src/include/balsamloft/loadview.h
+++ b/src/include/balsamloft/loadview.h
@@ -35,7 +35,7 @@
     Duration initialEjection {1'000'000};
     Duration maxEjection {30'000'000};
     std::uint32_t failuresToEject = 3; ///< consecutive failures; a silent endpoint needs one
-    double ejectableFraction = 0.5; ///< of one candidate group: ejection never empties it
+    double maxEjectedFraction = 0.5; ///< of one candidate group: ejection never empties it
 };
 
 /// Load and health of one endpoint, as one instance sees it.
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -276,7 +276,7 @@
     std::size_t ejected = 0;
     for (const EndpointId id : members)
         ejected += decision.loads.ejected(id) ? 1 : 0;
-    const auto allowed = static_cast<std::size_t>(decision.loads.settings().ejectableFraction
+    const auto allowed = static_cast<std::size_t>(decision.loads.settings().maxEjectedFraction
                                                   * static_cast<double>(members.size()));
     if (ejected <= allowed)
         return {};
