--- a/src/include/balsamloft/loadview.h
+++ b/src/include/balsamloft/loadview.h
@@ -48,7 +48,7 @@
     double speed = 1;
     bool configured = false; ///< in the configuration in force
     bool leaving = false; ///< known to be shutting down: no new work
-    bool saidLeaving = false; ///< it said so itself; asked again by probes
+    bool reportedLeaving = false; ///< it said so itself; asked again by probes
     std::uint32_t own = 0; ///< requests this instance has there
     std::uint32_t others = 0; ///< requests of other instances, at the last report
     std::uint32_t ownPeak = 0; ///< most own ones in the present half of the report window
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -99,7 +99,7 @@
     }
     // Sticky: a late report from before the notice must not bring the endpoint
     // back. Only a probe answered later can.
-    state.saidLeaving = state.saidLeaving || report.leaving;
+    state.reportedLeaving = state.reportedLeaving || report.leaving;
 }
 
 void LoadView::refusedBusy(EndpointId id, Time now)
@@ -140,7 +140,7 @@
 
 void LoadView::saysLeaving(EndpointId id, bool leaving)
 {
-    m_states[id].saidLeaving = leaving;
+    m_states[id].reportedLeaving = leaving;
 }
 
 void LoadView::succeeded(EndpointId id)
@@ -217,7 +217,7 @@
 bool LoadView::usable(EndpointId id) const
 {
     const EndpointState &state = m_states[id];
-    return state.configured && !state.leaving && !state.saidLeaving && !state.ejected;
+    return state.configured && !state.leaving && !state.reportedLeaving && !state.ejected;
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/routerfailures.cpp
+++ b/src/libbalsamloft/routerfailures.cpp
@@ -150,7 +150,7 @@
 
 void Router::Impl::reported(EndpointId endpoint, const LoadReport &load, Time now, Actions &actions)
 {
-    const bool wasLeaving = m_loads.state(endpoint).saidLeaving;
+    const bool wasLeaving = m_loads.state(endpoint).reportedLeaving;
     m_loads.reported(endpoint, load, now);
     if (wasLeaving || !load.leaving)
         return;
@@ -164,7 +164,7 @@
         const EndpointState &state = m_loads.state(id);
         // One that said that it is leaving may have been replaced by a new
         // process. A probe is no work.
-        const bool due = state.ejected ? state.probeAt <= now : state.saidLeaving;
+        const bool due = state.ejected ? state.probeAt <= now : state.reportedLeaving;
         if (due && state.configured)
             probe(id, actions);
     }
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -283,7 +283,7 @@
     for (std::size_t i = 0; i < members.size(); ++i) {
         const EndpointId id = members[(offset + i) % members.size()];
         const EndpointState &state = decision.loads.state(id);
-        if (id != decision.query.avoid && state.configured && !state.leaving && !state.saidLeaving
+        if (id != decision.query.avoid && state.configured && !state.leaving && !state.reportedLeaving
             && hasRoom(decision, id))
             return {id, cost(decision, id, false), false};
     }
