--- a/src/include/balsamloft/loadview.h
+++ b/src/include/balsamloft/loadview.h
@@ -95,7 +95,7 @@
     void setLeaving(EndpointId id, bool leaving);
 
     /// What the endpoint says of itself, in an answer or to a probe.
-    void saysLeaving(EndpointId id, bool leaving);
+    void setReportedLeaving(EndpointId id, bool leaving);
     void succeeded(EndpointId id);
 
     /// Counts a failure; returns true when it ejects the endpoint. \a silent
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -138,7 +138,7 @@
     m_states[id].leaving = leaving;
 }
 
-void LoadView::saysLeaving(EndpointId id, bool leaving)
+void LoadView::setReportedLeaving(EndpointId id, bool leaving)
 {
     m_states[id].reportedLeaving = leaving;
 }
--- a/src/libbalsamloft/routerfailures.cpp
+++ b/src/libbalsamloft/routerfailures.cpp
@@ -175,7 +175,7 @@
 {
     m_probing.erase(endpoint);
     if (alive)
-        m_loads.saysLeaving(endpoint, leaving);
+        m_loads.setReportedLeaving(endpoint, leaving);
     if (alive) {
         // A new connection works, so an old one that was silent is to blame:
         // something on the way has lost track of it. Others may be as dead.
