--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -47,7 +47,7 @@
 {
     if (now - state.peakSince >= m_settings.reportLag) {
         const bool adjacent = now - state.peakSince < 2 * m_settings.reportLag;
-        state.ownPeakBefore = adjacent ? state.ownPeak : state.own;
+        state.previousOwnPeak = adjacent ? state.ownPeak : state.own;
         state.ownPeak = state.own;
         state.peakSince = now;
     }
@@ -85,7 +85,7 @@
     // others' would leave their slots empty; erring the other way only costs
     // a "no room".
     notePeak(state, now);
-    const std::uint32_t own = std::max(state.ownPeak, state.ownPeakBefore);
+    const std::uint32_t own = std::max(state.ownPeak, state.previousOwnPeak);
     state.others = total > own ? total - own : 0;
     // To compare endpoints neither error is better than the other.
     changeOwn(state, 0, now);
