--- a/src/include/balsamloft/loadview.h
+++ b/src/include/balsamloft/loadview.h
@@ -53,7 +53,7 @@
     std::uint32_t others = 0; ///< requests of other instances, at the last report
     std::uint32_t ownPeak = 0; ///< most own ones in the present half of the report window
     std::uint32_t previousOwnPeak = 0; ///< the same in the half before
-    Time peakSince {};
+    Time peakWindowStart {};
     double ownMean = 0; ///< own ones, averaged over the time a report may lag
     Time ownMeanAt {};
     double othersLikely = 0; ///< others' at the last report, neither way in doubt
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -45,11 +45,11 @@
 
 void LoadView::notePeak(EndpointState &state, Time now) const
 {
-    if (now - state.peakSince >= m_settings.reportLag) {
-        const bool adjacent = now - state.peakSince < 2 * m_settings.reportLag;
+    if (now - state.peakWindowStart >= m_settings.reportLag) {
+        const bool adjacent = now - state.peakWindowStart < 2 * m_settings.reportLag;
         state.previousOwnPeak = adjacent ? state.ownPeak : state.own;
         state.ownPeak = state.own;
-        state.peakSince = now;
+        state.peakWindowStart = now;
     }
     state.ownPeak = std::max(state.ownPeak, state.own);
 }
