--- a/src/include/balsamloft/loadview.h
+++ b/src/include/balsamloft/loadview.h
@@ -56,7 +56,7 @@
     Time peakWindowStart {};
     double ownMean = 0; ///< own ones, averaged over the time a report may lag
     Time ownMeanAt {};
-    double othersLikely = 0; ///< others' at the last report, neither way in doubt
+    double expectedOthers = 0; ///< others' at the last report, neither way in doubt
     Time reportedAt {};
     double roundTripMicros = 0; ///< smoothed, seen on the way there and back
     Time roundTripAt {};
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -89,7 +89,7 @@
     state.others = total > own ? total - own : 0;
     // To compare endpoints neither error is better than the other.
     changeOwn(state, 0, now);
-    state.othersLikely = std::max(0.0, total - state.ownMean);
+    state.expectedOthers = std::max(0.0, total - state.ownMean);
     state.reportedAt = now;
     if (report.stepTime > Duration::zero()) {
         const auto sample = static_cast<double>(report.stepTime.count());
@@ -122,7 +122,7 @@
 {
     const EndpointState &state = m_states[id];
     const bool fresh = now - state.reportedAt < m_settings.reportLifetime;
-    return state.own + (fresh ? state.othersLikely : 0);
+    return state.own + (fresh ? state.expectedOthers : 0);
 }
 
 bool LoadView::hasRoom(EndpointId id, std::uint32_t beyond, Time now) const
