--- a/src/include/balsamloft/loadview.h
+++ b/src/include/balsamloft/loadview.h
@@ -62,7 +62,7 @@
     Time roundTripAt {};
     std::uint32_t window = 0; ///< own requests known to fit, while paused
     Time pausedUntil {}; ///< set by "no room"
-    std::uint32_t busyInRow = 0; ///< for the length of the pause
+    std::uint32_t consecutiveRefusals = 0; ///< for the length of the pause
     Duration stepTime {}; ///< smoothed; zero until the first report
     double prefixHitRate = 0.3; ///< smoothed share of affinity picks that hit; a guess at first
     std::uint32_t consecutiveFailures = 0;
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -110,12 +110,12 @@
     EndpointState &state = m_states[id];
     state.window = state.own > 0 ? state.own - 1 : 0; // the one refused is still counted
     state.pausedUntil =
-        now + doubled(m_settings.initialBusyPause, state.busyInRow++, m_settings.maxBusyPause);
+        now + doubled(m_settings.initialBusyPause, state.consecutiveRefusals++, m_settings.maxBusyPause);
 }
 
 void LoadView::accepted(EndpointId id)
 {
-    m_states[id].busyInRow = 0;
+    m_states[id].consecutiveRefusals = 0;
 }
 
 double LoadView::likelyLoad(EndpointId id, Time now) const
