--- a/src/include/balsamloft/loadview.h
+++ b/src/include/balsamloft/loadview.h
@@ -121,7 +121,7 @@
     std::uint32_t estimatedLoad(EndpointId id, Time now) const;
 
     /// The same with what is probable of others, to compare endpoints.
-    double likelyLoad(EndpointId id, Time now) const;
+    double expectedLoad(EndpointId id, Time now) const;
 
     /// The round trip seen lately, fading with time: a link that was slow is
     /// tried again. Zero when none was seen.
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -118,7 +118,7 @@
     m_states[id].consecutiveRefusals = 0;
 }
 
-double LoadView::likelyLoad(EndpointId id, Time now) const
+double LoadView::expectedLoad(EndpointId id, Time now) const
 {
     const EndpointState &state = m_states[id];
     const bool fresh = now - state.reportedAt < m_settings.reportLifetime;
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -240,7 +240,7 @@
     const double missRate = byAffinity ? 1 - state.prefixHitRate : 1;
     const double prefill = static_cast<double>(m_settings.prefillPerToken.count())
                            * decision.query.promptTokens * missRate / state.speed;
-    const double present = decision.loads.likelyLoad(id, decision.now);
+    const double present = decision.loads.expectedLoad(id, decision.now);
     const double load = present / state.slots;
     const double compute = (static_cast<double>(stepTime.count()) + prefill) * (1 + load);
     // Beyond the slots it waits for one to come free.
@@ -351,7 +351,7 @@
         if (!mayUse(decision, id))
             continue;
         const Pick pick {id, cost(decision, id, true), true};
-        const bool inBound = decision.loads.likelyLoad(id, decision.now)
+        const bool inBound = decision.loads.expectedLoad(id, decision.now)
                              <= m_settings.affinityFullness * decision.loads.state(id).slots;
         if (best.endpoint == NoEndpoint
             || std::pair(!inBound, pick.cost) < std::pair(!bestInBound, best.cost)) {
