--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -179,8 +179,8 @@
             return std::nullopt;
         FleetEndpoint endpoint;
         endpoint.name = std::string(id);
-        endpoint.born = static_cast<std::uint64_t>(number(*object, "started", 0));
-        endpoint.id = processId(endpoint.name, endpoint.born);
+        endpoint.startedAt = static_cast<std::uint64_t>(number(*object, "started", 0));
+        endpoint.id = processId(endpoint.name, endpoint.startedAt);
         endpoint.service = text(*object, "service");
         endpoint.address = text(*object, "address");
         endpoint.domain = text(*object, "domain");
@@ -198,7 +198,7 @@
         if (!object)
             return std::nullopt;
         EngineReport report;
-        report.born = static_cast<std::uint64_t>(number(*object, "started", 0));
+        report.startedAt = static_cast<std::uint64_t>(number(*object, "started", 0));
         report.layers = range(*object);
         report.orders = static_cast<std::uint64_t>(number(*object, "orders"));
         return report;
--- a/src/include/balsamloft/enginefleet.h
+++ b/src/include/balsamloft/enginefleet.h
@@ -20,7 +20,7 @@
 {
     std::string id; ///< of this process alone, see processId()
     std::string name; ///< that it is listed under; a restart may keep it
-    std::uint64_t born = 0; ///< when it started, Unix milliseconds; 0: not told
+    std::uint64_t startedAt = 0; ///< when it started, Unix milliseconds; 0: not told
     std::string service;
     std::string address; ///< "IP:port"; used again by others once this one is gone
     std::string domain;
@@ -33,10 +33,10 @@
     bool operator==(const FleetEndpoint &) const = default;
 };
 
-/// The id of the process that is listed under \a name and was started at \a born.
+/// The id of the process that is listed under \a name and was started at \a startedAt.
 /// All that is believed of an endpoint is kept under it: a restart under the same
 /// name would else inherit the load, the suspicion and the orders of the dead one.
-std::string processId(std::string_view name, std::uint64_t born);
+std::string processId(std::string_view name, std::uint64_t startedAt);
 
 /// The endpoints at one moment. Immutable.
 struct FleetSnapshot
@@ -120,7 +120,7 @@
     /// The youngest start that was seen under a name.
     struct Start
     {
-        std::uint64_t born = 0;
+        std::uint64_t startedAt = 0;
         Time seenAt {}; ///< last heard of
         bool leaving = false; ///< it announced that it leaves
     };
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -65,7 +65,7 @@
 /// What an engine says of itself.
 struct EngineReport
 {
-    std::uint64_t born = 0; ///< when the process started that answered; 0: not told
+    std::uint64_t startedAt = 0; ///< when the process started that answered; 0: not told
     LayerRange layers;
     bool busy = false;
     std::uint64_t orders = 0;
@@ -78,7 +78,7 @@
     /// Whether another process answered than the one that \a endpoint lists.
     bool ofAnotherThan(const FleetEndpoint &endpoint) const
     {
-        return born != 0 && endpoint.born != 0 && born != endpoint.born;
+        return startedAt != 0 && endpoint.startedAt != 0 && startedAt != endpoint.startedAt;
     }
 };
 
--- a/src/libbalsamloft/enginefleet.cpp
+++ b/src/libbalsamloft/enginefleet.cpp
@@ -13,11 +13,11 @@
 
 } // namespace
 
-std::string processId(std::string_view name, std::uint64_t born)
+std::string processId(std::string_view name, std::uint64_t startedAt)
 {
     std::string id(name);
-    if (born > 0)
-        id += "@" + std::to_string(born);
+    if (startedAt > 0)
+        id += "@" + std::to_string(startedAt);
     return id;
 }
 
@@ -114,9 +114,9 @@
     // before and written late must not bring new work to an endpoint that is about to
     // exit. Another process under the same name has announced nothing.
     Start &start = m_starts[endpoint.name];
-    if (endpoint.born > start.born)
+    if (endpoint.startedAt > start.startedAt)
         start = {};
-    start.born = endpoint.born;
+    start.startedAt = endpoint.startedAt;
     start.seenAt = now;
     start.leaving = start.leaving || endpoint.draining;
     endpoint.draining = start.leaving;
@@ -134,7 +134,7 @@
 bool FleetTracker::outdated(const FleetEndpoint &endpoint) const
 {
     const auto it = m_starts.find(endpoint.name);
-    return it != m_starts.end() && endpoint.born < it->second.born;
+    return it != m_starts.end() && endpoint.startedAt < it->second.startedAt;
 }
 
 void FleetTracker::forgetOldStarts(Time now)
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -131,11 +131,11 @@
 
 namespace {
 
-FleetEndpoint bornAt(std::uint64_t born, LayerRange layers)
+FleetEndpoint bornAt(std::uint64_t startedAt, LayerRange layers)
 {
     FleetEndpoint each = endpoint("a");
-    each.born = born;
-    each.id = processId("a", born);
+    each.startedAt = startedAt;
+    each.id = processId("a", startedAt);
     each.layers = layers;
     return each;
 }
