--- a/src/include/balsamloft/enginefleet.h
+++ b/src/include/balsamloft/enginefleet.h
@@ -63,7 +63,7 @@
 struct FleetSettings
 {
     /// Entries that vanished in an outage of the list come back within this time.
-    Duration regain {2'000'000};
+    Duration recoveryTime {2'000'000};
     /// How often endpoints write themselves down.
     Duration beat {1'200'000};
     /// Beats that an endpoint misses before its entry may lapse.
