--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -74,14 +74,14 @@
 FleetSettings fleetSettings(const EntrySettings &settings)
 {
     FleetSettings fleet;
-    fleet.beat = settings.beat;
+    fleet.heartbeatInterval = settings.heartbeatInterval;
     return fleet;
 }
 
 LayerPlannerSettings plannerSettings(const EntrySettings &settings)
 {
     LayerPlannerSettings planner;
-    planner.startupDelay = settings.beat * 6 / 5;
+    planner.startupDelay = settings.heartbeatInterval * 6 / 5;
     return planner;
 }
 
@@ -96,7 +96,7 @@
     TrialSettings trials;
     trials.holder = processName(settings);
     // A dead endpoint is listed for three beats, and everybody knows a little later.
-    trials.margin = settings.beat * 3 + Duration(1'400'000);
+    trials.margin = settings.heartbeatInterval * 3 + Duration(1'400'000);
     return trials;
 }
 
--- a/src/entry/settings.cpp
+++ b/src/entry/settings.cpp
@@ -71,7 +71,7 @@
     settings.metrics = FLAGS_metrics_listen;
     settings.store = FLAGS_store;
     settings.revocation = milliseconds(FLAGS_revocation_ms);
-    settings.beat = milliseconds(FLAGS_beat_ms);
+    settings.heartbeatInterval = milliseconds(FLAGS_beat_ms);
     settings.grace = milliseconds(FLAGS_grace_s * 1000);
     settings.retryRatio = FLAGS_retry_ratio;
     settings.retrySlack = FLAGS_retry_slack;
@@ -148,7 +148,7 @@
     };
     for (const Member &each : Members)
         add(each.flag, before.*each.value != after.*each.value);
-    add("beat_ms", before.beat != after.beat);
+    add("beat_ms", before.heartbeatInterval != after.heartbeatInterval);
     add("retry_window_s", before.retryWindow != after.retryWindow);
     return names;
 }
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -21,7 +21,7 @@
     std::string metrics; ///< "IP:port" to listen at; empty: none
     std::string store; ///< "IP:port"
     Duration revocation {}; ///< a withdrawn key is refused everywhere after this time
-    Duration beat {}; ///< how often endpoints write themselves down
+    Duration heartbeatInterval {}; ///< how often endpoints write themselves down
     Duration grace {}; ///< from the signal to stop to the end
     double retryRatio = 0; ///< repeats over requests, all instances together
     double retrySlack = 0; ///< repeats beyond the ratio in a window, all instances together
--- a/src/include/balsamloft/enginefleet.h
+++ b/src/include/balsamloft/enginefleet.h
@@ -65,7 +65,7 @@
     /// Entries that vanished in an outage of the list come back within this time.
     Duration recoveryTime {2'000'000};
     /// How often endpoints write themselves down.
-    Duration beat {1'200'000};
+    Duration heartbeatInterval {1'200'000};
     /// Beats that an endpoint misses before its entry may lapse.
     double beatsToLapse = 3;
 };
--- a/src/libbalsamloft/enginefleet.cpp
+++ b/src/libbalsamloft/enginefleet.cpp
@@ -79,7 +79,7 @@
 {
     constexpr double Margin = 0.15;
     const double beats = m_settings.beatsToLapse - 1 - Margin;
-    return Duration(static_cast<std::int64_t>(m_settings.beat.count() * beats));
+    return Duration(static_cast<std::int64_t>(m_settings.heartbeatInterval.count() * beats));
 }
 
 void FleetTracker::heard(Time now)
