--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -327,7 +327,7 @@
      "return plain == std::string_view::npos ? 0 : plain + 2;", "return plain == std::string_view::npos ? text.size() : plain + 2;",
      "replicatedstate_test: only whole events are passed on, wherever the bytes are cut"),
     ("a short silence is no outage", "src/libbalsamloft/enginefleet.cpp",
-     "const double beats = m_settings.beatsToLapse - 1 - Margin;", "const double beats = 1.25 + 0 * Margin;",
+     "const double beats = m_settings.heartbeatsToExpire - 1 - Margin;", "const double beats = 1.25 + 0 * Margin;",
      "replicatedstate_test: an entry that is dropped while another instance was silent is gone at once"),
     ("all engines of a path are asked for", "src/libbalsamloft/relay.cpp",
      "[&](const PathPart &part) { return stays(part.endpoint); });", "[&](const PathPart &) { return true; });",
--- a/src/include/balsamloft/enginefleet.h
+++ b/src/include/balsamloft/enginefleet.h
@@ -67,7 +67,7 @@
     /// How often endpoints write themselves down.
     Duration heartbeatInterval {1'200'000};
     /// Beats that an endpoint misses before its entry may lapse.
-    double beatsToLapse = 3;
+    double heartbeatsToExpire = 3;
 };
 
 /// Follows the list of endpoints. It forgets an entry at once when the list is
--- a/src/libbalsamloft/enginefleet.cpp
+++ b/src/libbalsamloft/enginefleet.cpp
@@ -78,7 +78,7 @@
 Duration FleetTracker::shortestOutage() const
 {
     constexpr double Margin = 0.15;
-    const double beats = m_settings.beatsToLapse - 1 - Margin;
+    const double beats = m_settings.heartbeatsToExpire - 1 - Margin;
     return Duration(static_cast<std::int64_t>(m_settings.heartbeatInterval.count() * beats));
 }
 
