--- a/src/include/balsamloft/enginefleet.h
+++ b/src/include/balsamloft/enginefleet.h
@@ -43,12 +43,12 @@
 {
     std::uint64_t number = 0; ///< rises with each snapshot of a process
     std::vector<FleetEndpoint> endpoints;
-    /// Positions of the endpoints in the order of their ids, see sortIds(); empty: all are
+    /// Positions of the endpoints in the order of their ids, see indexById(); empty: all are
     /// looked at.
     std::vector<std::uint32_t> byId;
 
     /// Makes find() fast; to be called when all endpoints are there.
-    void sortIds();
+    void indexById();
     const FleetEndpoint *find(std::string_view id) const;
     const FleetEndpoint *atAddress(std::string_view address) const;
 
--- a/src/libbalsamloft/enginefleet.cpp
+++ b/src/libbalsamloft/enginefleet.cpp
@@ -21,7 +21,7 @@
     return id;
 }
 
-void FleetSnapshot::sortIds()
+void FleetSnapshot::indexById()
 {
     byId.resize(endpoints.size());
     std::iota(byId.begin(), byId.end(), 0U);
@@ -184,7 +184,7 @@
     snapshot->number = ++m_number;
     for (const auto &[name, entry] : m_entries)
         snapshot->endpoints.push_back(entry.endpoint);
-    snapshot->sortIds();
+    snapshot->indexById();
     m_dirty = false;
     return snapshot;
 }
