--- a/src/include/balsamloft/enginefleet.h
+++ b/src/include/balsamloft/enginefleet.h
@@ -130,7 +130,7 @@
     bool m_known = false;
     bool m_dirty = false;
     Time m_heardAt {};
-    Time m_outageOverAt {}; ///< when the list answered again after an outage
+    Time m_outageEndedAt {}; ///< when the list answered again after an outage
     std::uint64_t m_number = 0;
 };
 
