--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -13,7 +13,7 @@
 
 namespace balsamloft {
 
-/// Settings of an EngineBook.
+/// Settings of an EngineTracker.
 struct EngineBookSettings
 {
     Duration suspicion {4'000'000}; ///< a silent endpoint is left out this long
@@ -87,10 +87,10 @@
 
 /// Beliefs about all endpoints. Endpoints are named by id: what was believed of
 /// one process does not hold for the next one at its address.
-class EngineBook
+class EngineTracker
 {
 public:
-    explicit EngineBook(EngineBookSettings settings = {});
+    explicit EngineTracker(EngineBookSettings settings = {});
 
     // Commands
 
--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -95,7 +95,7 @@
     /// The cheapest path over engines of \a service in \a fleet, or nothing when
     /// no engines cover the layers.
     std::optional<EnginePath> choose(const FleetSnapshot &fleet, const RoutedService &service,
-                                     const EngineBook &book, const PathQuery &query, Time now,
+                                     const EngineTracker &book, const PathQuery &query, Time now,
                                      std::mt19937_64 &random) const;
 
 private:
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -284,7 +284,7 @@
     std::optional<std::uint64_t> lastEvent(FlightId id) const;
     std::size_t flights() const { return m_flights.size(); }
     const RelayCounts &counts() const { return m_counts; }
-    const EngineBook &book() const { return m_book; }
+    const EngineTracker &book() const { return m_book; }
     const Quarantine &quarantine() const { return m_quarantine; }
     const RateLimits &rateLimits() const { return m_limits; }
 
@@ -401,7 +401,7 @@
     RelaySettings m_settings;
     std::mt19937_64 m_random;
     PathChooser m_chooser;
-    EngineBook m_book;
+    EngineTracker m_book;
     Quarantine m_quarantine;
     RateLimits m_limits;
     FleetPtr m_fleet;
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -27,19 +27,19 @@
            || std::abs(now.pace - told.pace) > PaceStep;
 }
 
-EngineBook::EngineBook(EngineBookSettings settings)
+EngineTracker::EngineTracker(EngineBookSettings settings)
     : m_settings(settings)
 {
 }
 
-void EngineBook::follow(const FleetSnapshot &fleet)
+void EngineTracker::follow(const FleetSnapshot &fleet)
 {
     std::erase_if(m_beliefs, [&](const auto &each) {
         return each.second.streams == 0 && !fleet.find(each.first);
     });
 }
 
-void EngineBook::started(const std::string &id, double tokenLayers, bool first)
+void EngineTracker::started(const std::string &id, double tokenLayers, bool first)
 {
     EngineBelief &each = belief(id);
     each.streams += 1;
@@ -47,7 +47,7 @@
     each.firstOf += first ? 1 : 0;
 }
 
-void EngineBook::ended(const std::string &id, double tokenLayers, bool first)
+void EngineTracker::ended(const std::string &id, double tokenLayers, bool first)
 {
     EngineBelief &each = belief(id);
     each.streams -= std::min(each.streams, 1U);
@@ -55,12 +55,12 @@
     each.firstOf -= first ? std::min(each.firstOf, 1U) : 0;
 }
 
-void EngineBook::suspect(const std::string &id, Time now)
+void EngineTracker::suspect(const std::string &id, Time now)
 {
     belief(id).suspectUntil = now + m_settings.suspicion;
 }
 
-void EngineBook::cleared(const std::string &id, Time now)
+void EngineTracker::cleared(const std::string &id, Time now)
 {
     const auto it = m_beliefs.find(id);
     if (it == m_beliefs.end())
@@ -69,7 +69,7 @@
     it->second.heardAt = now;
 }
 
-void EngineBook::outOfRoom(const std::string &id, Time now)
+void EngineTracker::outOfRoom(const std::string &id, Time now)
 {
     EngineBelief &each = belief(id);
     // Requests sent together are refused together: that is one refusal.
@@ -81,28 +81,28 @@
     each.shortages += 1;
 }
 
-void EngineBook::hadRoom(const std::string &id)
+void EngineTracker::hadRoom(const std::string &id)
 {
     const auto it = m_beliefs.find(id);
     if (it != m_beliefs.end())
         it->second.shortages = 0;
 }
 
-void EngineBook::paced(const std::string &id, double pace, Time now)
+void EngineTracker::paced(const std::string &id, double pace, Time now)
 {
     EngineBelief &each = belief(id);
     each.pace = std::max(1.0, pace);
     each.paceUntil = now + m_settings.paceValid;
 }
 
-double EngineBook::decay(const EngineBelief &belief, Time now) const
+double EngineTracker::decay(const EngineBelief &belief, Time now) const
 {
     const std::chrono::duration<double> elapsed = now - belief.decayedAt;
     const std::chrono::duration<double> half = m_settings.failureHalfLife;
     return std::exp2(-std::max(0.0, elapsed.count()) / half.count());
 }
 
-void EngineBook::finished(const std::string &id, bool failed, Time now)
+void EngineTracker::finished(const std::string &id, bool failed, Time now)
 {
     EngineBelief &each = belief(id);
     const double kept = decay(each, now);
@@ -111,7 +111,7 @@
     each.answers = each.answers * kept + 1;
 }
 
-void EngineBook::loadSeen(const std::string &id, const std::string &domain, std::uint32_t running)
+void EngineTracker::loadSeen(const std::string &id, const std::string &domain, std::uint32_t running)
 {
     const EngineBelief *each = find(id);
     if (!each || each->firstOf == 0)
@@ -135,14 +135,14 @@
 
 } // namespace
 
-void EngineBook::crossed(const std::string &from, const std::string &to, double pipeMs, Time now)
+void EngineTracker::crossed(const std::string &from, const std::string &to, double pipeMs, Time now)
 {
     PipeUse &use = m_pipes[std::minmax(from, to)];
     use.ms = use.ms * pipeDecay(use.at, now) + pipeMs;
     use.at = now;
 }
 
-double EngineBook::linkLoad(std::string_view from, std::string_view to, Time now) const
+double EngineTracker::linkLoad(std::string_view from, std::string_view to, Time now) const
 {
     const auto ordered = std::minmax(from, to);
     const auto it =
@@ -152,31 +152,31 @@
                : it->second.ms * pipeDecay(it->second.at, now) * m_instances / PipeMemoryMs;
 }
 
-const EngineBelief *EngineBook::find(std::string_view id) const
+const EngineBelief *EngineTracker::find(std::string_view id) const
 {
     const auto it = m_beliefs.find(id);
     return it == m_beliefs.end() ? nullptr : &it->second;
 }
 
-bool EngineBook::suspected(std::string_view id, Time now) const
+bool EngineTracker::suspected(std::string_view id, Time now) const
 {
     const EngineBelief *each = find(id);
     return each && now < each->suspectUntil;
 }
 
-bool EngineBook::usable(std::string_view id, Time now) const
+bool EngineTracker::usable(std::string_view id, Time now) const
 {
     const EngineBelief *each = find(id);
     return !each || (now >= each->suspectUntil && now >= each->shortUntil);
 }
 
-double EngineBook::scale(const std::string &domain) const
+double EngineTracker::scale(const std::string &domain) const
 {
     const auto it = m_scales.find(domain);
     return it == m_scales.end() ? m_sharers : it->second;
 }
 
-void EngineBook::reported(const EngineState &state, Time now)
+void EngineTracker::reported(const EngineState &state, Time now)
 {
     EngineBelief &each = belief(state.id);
     if (state.at <= each.reportedAt)
@@ -197,14 +197,14 @@
 }
 
 /// What is sent from now on comes on top of what was reported.
-void EngineBook::countOwn(EngineBelief &belief, Time now)
+void EngineTracker::countOwn(EngineBelief &belief, Time now)
 {
     belief.countedAt = now;
     belief.ownUsedThen = belief.tokenLayers;
     belief.ownStreamsThen = belief.streams;
 }
 
-void EngineBook::stillSo(std::string_view id, Time at, Time now)
+void EngineTracker::stillSo(std::string_view id, Time at, Time now)
 {
     const auto it = m_beliefs.find(id);
     if (it == m_beliefs.end() || it->second.reportedAt == Time {} || at <= it->second.validAt)
@@ -216,7 +216,7 @@
         countOwn(each, now);
 }
 
-EngineLoad EngineBook::load(std::string_view id, const std::string &domain, Time now) const
+EngineLoad EngineTracker::load(std::string_view id, const std::string &domain, Time now) const
 {
     const EngineBelief *each = find(id);
     if (!each)
@@ -233,7 +233,7 @@
             static_cast<double>(each->reportedQueued), true};
 }
 
-double EngineBook::failureShare(std::string_view id, Time now) const
+double EngineTracker::failureShare(std::string_view id, Time now) const
 {
     const EngineBelief *each = find(id);
     if (!each)
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -239,7 +239,7 @@
 
 /// The engines that may be used now, with their times under the work on them.
 std::vector<Candidate> candidates(const FleetSnapshot &fleet, const RoutedService &service,
-                                  const EngineBook &book, const PathQuery &query, Time now,
+                                  const EngineTracker &book, const PathQuery &query, Time now,
                                   const PathSettings &settings)
 {
     const LayeredModel &model = *service.model;
@@ -296,7 +296,7 @@
 }
 
 std::optional<EnginePath> PathChooser::choose(const FleetSnapshot &fleet,
-                                              const RoutedService &service, const EngineBook &book,
+                                              const RoutedService &service, const EngineTracker &book,
                                               const PathQuery &query, Time now,
                                               std::mt19937_64 &random) const
 {
--- a/src/libbalsamloft/pathchooser_test.cpp
+++ b/src/libbalsamloft/pathchooser_test.cpp
@@ -27,7 +27,7 @@
 {
     FleetSnapshot fleet;
     RoutedService service {"model", 0, testModel(Layers)};
-    EngineBook book;
+    EngineTracker book;
     std::mt19937_64 random {7};
     PathQuery query {"near", 100, 50, nullptr};
 
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -514,7 +514,7 @@
 // the few repeats, so such an engine is left alone longer each time.
 TEST_CASE("an engine that goes on refusing is asked less and less often")
 {
-    EngineBook book;
+    EngineTracker book;
     Time now(std::chrono::hours(1));
     std::vector<Duration> pauses;
     for (int i = 0; i < 4; ++i) {
