--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -14,7 +14,7 @@
 namespace balsamloft {
 
 /// Settings of an EngineTracker.
-struct EngineBookSettings
+struct EngineTrackerSettings
 {
     Duration suspicion {4'000'000}; ///< a silent endpoint is left out this long
     Duration shortage {150'000}; ///< an endpoint without room is left out this long
@@ -90,7 +90,7 @@
 class EngineTracker
 {
 public:
-    explicit EngineTracker(EngineBookSettings settings = {});
+    explicit EngineTracker(EngineTrackerSettings settings = {});
 
     // Commands
 
@@ -162,7 +162,7 @@
     EngineBelief &belief(const std::string &id) { return m_beliefs[id]; }
     double decay(const EngineBelief &belief, Time now) const;
 
-    EngineBookSettings m_settings;
+    EngineTrackerSettings m_settings;
     std::map<std::string, EngineBelief, std::less<>> m_beliefs;
     std::map<std::string, double> m_scales;
     double m_sharers = 3;
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -27,7 +27,7 @@
            || std::abs(now.pace - told.pace) > PaceStep;
 }
 
-EngineTracker::EngineTracker(EngineBookSettings settings)
+EngineTracker::EngineTracker(EngineTrackerSettings settings)
     : m_settings(settings)
 {
 }
