--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -52,7 +52,7 @@
 bool differsNoticeably(const EngineState &told, const EngineState &now, double room);
 
 /// Belief about one endpoint.
-struct EngineBelief
+struct EngineEstimate
 {
     std::uint32_t streams = 0; ///< own requests on it
     double tokenLayers = 0; ///< KV memory that they need, in tokens times layers
@@ -142,7 +142,7 @@
     /// use: own requests of late, times the instances.
     double linkLoad(std::string_view from, std::string_view to, Time now) const;
 
-    const EngineBelief *find(std::string_view id) const;
+    const EngineEstimate *find(std::string_view id) const;
     bool suspected(std::string_view id, Time now) const;
     bool usable(std::string_view id, Time now) const;
 
@@ -158,12 +158,12 @@
     double failureShare(std::string_view id, Time now) const;
 
 private:
-    static void countOwn(EngineBelief &belief, Time now);
-    EngineBelief &belief(const std::string &id) { return m_beliefs[id]; }
-    double decay(const EngineBelief &belief, Time now) const;
+    static void countOwn(EngineEstimate &belief, Time now);
+    EngineEstimate &belief(const std::string &id) { return m_beliefs[id]; }
+    double decay(const EngineEstimate &belief, Time now) const;
 
     EngineTrackerSettings m_settings;
-    std::map<std::string, EngineBelief, std::less<>> m_beliefs;
+    std::map<std::string, EngineEstimate, std::less<>> m_beliefs;
     std::map<std::string, double> m_scales;
     double m_sharers = 3;
 
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -41,7 +41,7 @@
 
 void EngineTracker::started(const std::string &id, double tokenLayers, bool first)
 {
-    EngineBelief &each = belief(id);
+    EngineEstimate &each = belief(id);
     each.streams += 1;
     each.tokenLayers += tokenLayers;
     each.firstOf += first ? 1 : 0;
@@ -49,7 +49,7 @@
 
 void EngineTracker::ended(const std::string &id, double tokenLayers, bool first)
 {
-    EngineBelief &each = belief(id);
+    EngineEstimate &each = belief(id);
     each.streams -= std::min(each.streams, 1U);
     each.tokenLayers = each.streams == 0 ? 0 : std::max(0.0, each.tokenLayers - tokenLayers);
     each.firstOf -= first ? std::min(each.firstOf, 1U) : 0;
@@ -71,7 +71,7 @@
 
 void EngineTracker::outOfRoom(const std::string &id, Time now)
 {
-    EngineBelief &each = belief(id);
+    EngineEstimate &each = belief(id);
     // Requests sent together are refused together: that is one refusal.
     if (now < each.shortUntil)
         return;
@@ -90,12 +90,12 @@
 
 void EngineTracker::paced(const std::string &id, double pace, Time now)
 {
-    EngineBelief &each = belief(id);
+    EngineEstimate &each = belief(id);
     each.pace = std::max(1.0, pace);
     each.paceUntil = now + m_settings.paceValid;
 }
 
-double EngineTracker::decay(const EngineBelief &belief, Time now) const
+double EngineTracker::decay(const EngineEstimate &belief, Time now) const
 {
     const std::chrono::duration<double> elapsed = now - belief.decayedAt;
     const std::chrono::duration<double> half = m_settings.failureHalfLife;
@@ -104,7 +104,7 @@
 
 void EngineTracker::finished(const std::string &id, bool failed, Time now)
 {
-    EngineBelief &each = belief(id);
+    EngineEstimate &each = belief(id);
     const double kept = decay(each, now);
     each.decayedAt = now;
     each.failures = each.failures * kept + (failed ? 1 : 0);
@@ -113,7 +113,7 @@
 
 void EngineTracker::loadSeen(const std::string &id, const std::string &domain, std::uint32_t running)
 {
-    const EngineBelief *each = find(id);
+    const EngineEstimate *each = find(id);
     if (!each || each->firstOf == 0)
         return;
     const double ratio = std::clamp(static_cast<double>(running) / each->firstOf, 1.0, MostScale);
@@ -152,7 +152,7 @@
                : it->second.ms * pipeDecay(it->second.at, now) * m_instances / PipeMemoryMs;
 }
 
-const EngineBelief *EngineTracker::find(std::string_view id) const
+const EngineEstimate *EngineTracker::find(std::string_view id) const
 {
     const auto it = m_beliefs.find(id);
     return it == m_beliefs.end() ? nullptr : &it->second;
@@ -160,13 +160,13 @@
 
 bool EngineTracker::suspected(std::string_view id, Time now) const
 {
-    const EngineBelief *each = find(id);
+    const EngineEstimate *each = find(id);
     return each && now < each->suspectUntil;
 }
 
 bool EngineTracker::usable(std::string_view id, Time now) const
 {
-    const EngineBelief *each = find(id);
+    const EngineEstimate *each = find(id);
     return !each || (now >= each->suspectUntil && now >= each->shortUntil);
 }
 
@@ -178,7 +178,7 @@
 
 void EngineTracker::reported(const EngineState &state, Time now)
 {
-    EngineBelief &each = belief(state.id);
+    EngineEstimate &each = belief(state.id);
     if (state.at <= each.reportedAt)
         return;
     if (state.silent) {
@@ -197,7 +197,7 @@
 }
 
 /// What is sent from now on comes on top of what was reported.
-void EngineTracker::countOwn(EngineBelief &belief, Time now)
+void EngineTracker::countOwn(EngineEstimate &belief, Time now)
 {
     belief.countedAt = now;
     belief.ownUsedThen = belief.tokenLayers;
@@ -209,7 +209,7 @@
     const auto it = m_beliefs.find(id);
     if (it == m_beliefs.end() || it->second.reportedAt == Time {} || at <= it->second.validAt)
         return;
-    EngineBelief &each = it->second;
+    EngineEstimate &each = it->second;
     each.paceUntil = std::max(each.paceUntil, at + m_settings.paceValid);
     each.validAt = at;
     if (now - each.countedAt >= m_settings.reportEvery)
@@ -218,7 +218,7 @@
 
 EngineLoad EngineTracker::load(std::string_view id, const std::string &domain, Time now) const
 {
-    const EngineBelief *each = find(id);
+    const EngineEstimate *each = find(id);
     if (!each)
         return {};
     const double others = scale(domain);
@@ -235,7 +235,7 @@
 
 double EngineTracker::failureShare(std::string_view id, Time now) const
 {
-    const EngineBelief *each = find(id);
+    const EngineEstimate *each = find(id);
     if (!each)
         return 0;
     // Two good answers are assumed, so that one failure alone says little.
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -251,7 +251,7 @@
             continue;
         if (query.without && query.without->contains(each.id))
             continue;
-        const EngineBelief *belief = book.find(each.id);
+        const EngineEstimate *belief = book.find(each.id);
         const EngineLoad load = book.load(each.id, each.domain, now);
         const double streams = 1 + load.streams;
         const double pace = kind->pace * (belief && now < belief->paceUntil ? belief->pace : 1);
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -191,7 +191,7 @@
 double Relay::endpointCost(const FleetEndpoint &endpoint, const std::set<std::string> &avoid,
                            Time now)
 {
-    const EngineBelief *belief = m_book.find(endpoint.id);
+    const EngineEstimate *belief = m_book.find(endpoint.id);
     std::uniform_real_distribution<double> noise(0, 0.1);
     double cost = noise(m_random) + 4 * m_book.failureShare(endpoint.id, now);
     if (belief)
