--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -75,9 +75,9 @@
     // Requests sent together are refused together: that is one refusal.
     if (now < each.shortUntil)
         return;
-    if (now - each.shortUntil > m_settings.mostShortage)
+    if (now - each.shortUntil > m_settings.maxBusyPause)
         each.shortages = 0;
-    each.shortUntil = now + doubled(m_settings.shortage, each.shortages, m_settings.mostShortage);
+    each.shortUntil = now + doubled(m_settings.shortage, each.shortages, m_settings.maxBusyPause);
     each.shortages += 1;
 }
 
