--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -58,7 +58,7 @@
     double tokenLayers = 0; ///< KV memory that they need, in tokens times layers
     Time suspectUntil {};
     Time heardAt {}; ///< it answered this instance last
-    Time shortUntil {};
+    Time pausedUntil {};
     std::uint32_t shortages = 0; ///< refusals in a row
     double pace = 1; ///< over 1: slower than its kind
     Time paceUntil {};
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -73,11 +73,11 @@
 {
     EngineEstimate &each = belief(id);
     // Requests sent together are refused together: that is one refusal.
-    if (now < each.shortUntil)
+    if (now < each.pausedUntil)
         return;
-    if (now - each.shortUntil > m_settings.maxBusyPause)
+    if (now - each.pausedUntil > m_settings.maxBusyPause)
         each.shortages = 0;
-    each.shortUntil = now + doubled(m_settings.shortage, each.shortages, m_settings.maxBusyPause);
+    each.pausedUntil = now + doubled(m_settings.shortage, each.shortages, m_settings.maxBusyPause);
     each.shortages += 1;
 }
 
@@ -167,7 +167,7 @@
 bool EngineTracker::usable(std::string_view id, Time now) const
 {
     const EngineEstimate *each = find(id);
-    return !each || (now >= each->suspectUntil && now >= each->shortUntil);
+    return !each || (now >= each->suspectUntil && now >= each->pausedUntil);
 }
 
 double EngineTracker::scale(const std::string &domain) const
