--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -19,7 +19,7 @@
     Duration suspicion {4'000'000}; ///< a silent endpoint is left out this long
     Duration shortage {150'000}; ///< an endpoint without room is left out this long
     Duration maxBusyPause {2'400'000}; ///< doubled with each refusal in a row, up to this
-    Duration paceValid {3'000'000}; ///< a report of slowness is believed this long
+    Duration slowdownLifetime {3'000'000}; ///< a report of slowness is believed this long
     Duration failureHalfLife {3'000'000};
     Duration reportValid {2'500'000}; ///< a report of load is believed this long
     /// Engines are asked about so often; one that is still as it was has taken in by then
