--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -61,7 +61,7 @@
     Time pausedUntil {};
     std::uint32_t shortages = 0; ///< refusals in a row
     double pace = 1; ///< over 1: slower than its kind
-    Time paceUntil {};
+    Time slowdownUntil {};
     double failures = 0; ///< decaying count of failed requests
     double answers = 0; ///< decaying count of all requests
     Time decayedAt {};
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -92,7 +92,7 @@
 {
     EngineEstimate &each = belief(id);
     each.pace = std::max(1.0, pace);
-    each.paceUntil = now + m_settings.slowdownLifetime;
+    each.slowdownUntil = now + m_settings.slowdownLifetime;
 }
 
 double EngineTracker::decay(const EngineEstimate &belief, Time now) const
@@ -210,7 +210,7 @@
     if (it == m_beliefs.end() || it->second.reportedAt == Time {} || at <= it->second.validAt)
         return;
     EngineEstimate &each = it->second;
-    each.paceUntil = std::max(each.paceUntil, at + m_settings.slowdownLifetime);
+    each.slowdownUntil = std::max(each.slowdownUntil, at + m_settings.slowdownLifetime);
     each.validAt = at;
     if (now - each.countedAt >= m_settings.reportEvery)
         countOwn(each, now);
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -254,7 +254,7 @@
         const EngineEstimate *belief = book.find(each.id);
         const EngineLoad load = book.load(each.id, each.domain, now);
         const double streams = 1 + load.streams;
-        const double pace = kind->pace * (belief && now < belief->paceUntil ? belief->pace : 1);
+        const double pace = kind->pace * (belief && now < belief->slowdownUntil ? belief->pace : 1);
         const double context = (model.usualPrompt + model.usualAnswer / 2.0) / 1000;
         const double step =
             model.stepMs + streams * (model.perSequenceMs + context * model.contextMsPerK);
