--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -111,7 +111,7 @@
     void outOfRoom(const std::string &id, Time now);
     /// A request ran through the endpoint.
     void hadRoom(const std::string &id);
-    void paced(const std::string &id, double pace, Time now);
+    void setSlowdown(const std::string &id, double pace, Time now);
     void finished(const std::string &id, bool failed, Time now);
 
     /// The endpoint in \a domain said that \a running requests entered there.
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -88,7 +88,7 @@
         it->second.shortages = 0;
 }
 
-void EngineTracker::paced(const std::string &id, double pace, Time now)
+void EngineTracker::setSlowdown(const std::string &id, double pace, Time now)
 {
     EngineEstimate &each = belief(id);
     each.pace = std::max(1.0, pace);
@@ -187,7 +187,7 @@
             suspect(state.id, now);
         return;
     }
-    paced(state.id, state.pace, now);
+    setSlowdown(state.id, state.pace, now);
     each.reportedAt = state.at;
     each.validAt = std::max(each.validAt, state.at);
     each.reportedUsed = state.used;
--- a/src/libbalsamloft/pathchooser_test.cpp
+++ b/src/libbalsamloft/pathchooser_test.cpp
@@ -113,7 +113,7 @@
 {
     Choice choice;
     choice.fleet.endpoints = {engine("1", {0, 24}, "near"), engine("2", {0, 24}, "near")};
-    choice.book.paced("1", 5, Now);
+    choice.book.setSlowdown("1", 5, Now);
     for (int i = 0; i < 20; ++i)
         CHECK(choice()->parts.front().endpoint == "2");
 }
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -33,7 +33,7 @@
                      double pace, Time now, RelayActions &actions)
 {
     m_book.cleared(endpoint, now);
-    m_book.paced(endpoint, pace, now);
+    m_book.setSlowdown(endpoint, pace, now);
     for (const std::string &address : stalledAt)
         if (const FleetEndpoint *found = m_fleet->atAddress(address))
             m_book.suspect(found->id, now);
