--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -21,7 +21,7 @@
     Duration maxBusyPause {2'400'000}; ///< doubled with each refusal in a row, up to this
     Duration slowdownLifetime {3'000'000}; ///< a report of slowness is believed this long
     Duration failureHalfLife {3'000'000};
-    Duration reportValid {2'500'000}; ///< a report of load is believed this long
+    Duration reportLifetime {2'500'000}; ///< a report of load is believed this long
     /// Engines are asked about so often; one that is still as it was has taken in by then
     /// what was sent there.
     Duration reportEvery {1'000'000};
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -222,7 +222,7 @@
     if (!each)
         return {};
     const double others = scale(domain);
-    if (now - each->validAt > m_settings.reportValid)
+    if (now - each->validAt > m_settings.reportLifetime)
         return {each->tokenLayers * others, each->streams * others, 0, false};
     const double newUsed = std::max(0.0, each->tokenLayers - each->ownUsedThen);
     const double newStreams = each->streams > each->ownStreamsThen
