--- a/src/bench/layer_experiment.cpp
+++ b/src/bench/layer_experiment.cpp
@@ -58,7 +58,7 @@
     if (FLAGS_vary == "reports")
         for (const int millis : {250, 1000, 4000})
             add("states each " + std::to_string(millis) + " ms", [&](auto &each) {
-                each.reportEvery = std::chrono::milliseconds(millis);
+                each.reportInterval = std::chrono::milliseconds(millis);
                 each.requestsPerSecond *= 1.5;
             });
     return found;
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -199,7 +199,7 @@
                 carryOut(i, actions);
             }
         });
-        at(m_settings.reportEvery, [this] { report(); });
+        at(m_settings.reportInterval, [this] { report(); });
     }
 
     void tick()
--- a/src/fakes/layeremulator.h
+++ b/src/fakes/layeremulator.h
@@ -30,7 +30,7 @@
     std::uint32_t instancesPerDomain = 3;
     double requestsPerSecond = 80; ///< over all instances
     Duration length {20'000'000};
-    Duration reportEvery {1'000'000}; ///< how often instances learn engines' states
+    Duration reportInterval {1'000'000}; ///< how often instances learn engines' states
     Duration reportLag {200'000};
     Duration failureEvery {0}; ///< an engine dies this often; 0: never
     Duration failureFor {4'000'000};
--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -24,7 +24,7 @@
     Duration reportLifetime {2'500'000}; ///< a report of load is believed this long
     /// Engines are asked about so often; one that is still as it was has taken in by then
     /// what was sent there.
-    Duration reportEvery {1'000'000};
+    Duration reportInterval {1'000'000};
 };
 
 /// What an engine said of itself, or that it did not answer.
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -212,7 +212,7 @@
     EngineEstimate &each = it->second;
     each.slowdownUntil = std::max(each.slowdownUntil, at + m_settings.slowdownLifetime);
     each.validAt = at;
-    if (now - each.countedAt >= m_settings.reportEvery)
+    if (now - each.countedAt >= m_settings.reportInterval)
         countOwn(each, now);
 }
 
