--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -65,7 +65,7 @@
     double failures = 0; ///< decaying count of failed requests
     double answers = 0; ///< decaying count of all requests
     Time decayedAt {};
-    std::uint32_t firstOf = 0; ///< own requests that entered the engines here
+    std::uint32_t ownStartingHere = 0; ///< own requests that entered the engines here
     Time reportedAt {}; ///< never: the beginning of time
     Time validAt {}; ///< as of then it still was so
     Time countedAt {}; ///< own work was counted then, see ownUsedThen
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -44,7 +44,7 @@
     EngineEstimate &each = belief(id);
     each.streams += 1;
     each.tokenLayers += tokenLayers;
-    each.firstOf += first ? 1 : 0;
+    each.ownStartingHere += first ? 1 : 0;
 }
 
 void EngineTracker::ended(const std::string &id, double tokenLayers, bool first)
@@ -52,7 +52,7 @@
     EngineEstimate &each = belief(id);
     each.streams -= std::min(each.streams, 1U);
     each.tokenLayers = each.streams == 0 ? 0 : std::max(0.0, each.tokenLayers - tokenLayers);
-    each.firstOf -= first ? std::min(each.firstOf, 1U) : 0;
+    each.ownStartingHere -= first ? std::min(each.ownStartingHere, 1U) : 0;
 }
 
 void EngineTracker::suspect(const std::string &id, Time now)
@@ -114,9 +114,9 @@
 void EngineTracker::loadSeen(const std::string &id, const std::string &domain, std::uint32_t running)
 {
     const EngineEstimate *each = find(id);
-    if (!each || each->firstOf == 0)
+    if (!each || each->ownStartingHere == 0)
         return;
-    const double ratio = std::clamp(static_cast<double>(running) / each->firstOf, 1.0, MostScale);
+    const double ratio = std::clamp(static_cast<double>(running) / each->ownStartingHere, 1.0, MostScale);
     const auto [it, fresh] = m_scales.try_emplace(domain, m_sharers);
     it->second += ScaleWeight * (ratio - it->second);
 }
