--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -68,11 +68,11 @@
     std::uint32_t ownStartingHere = 0; ///< own requests that entered the engines here
     Time reportedAt {}; ///< never: the beginning of time
     Time validAt {}; ///< as of then it still was so
-    Time countedAt {}; ///< own work was counted then, see ownUsedThen
+    Time countedAt {}; ///< own work was counted then, see ownUsedAtReport
     double reportedUsed = 0;
     std::uint32_t reportedActive = 0;
     std::uint32_t reportedQueued = 0;
-    double ownUsedThen = 0; ///< own work that the report is taken to hold
+    double ownUsedAtReport = 0; ///< own work that the report is taken to hold
     std::uint32_t ownStreamsThen = 0;
 };
 
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -200,7 +200,7 @@
 void EngineTracker::countOwn(EngineEstimate &belief, Time now)
 {
     belief.countedAt = now;
-    belief.ownUsedThen = belief.tokenLayers;
+    belief.ownUsedAtReport = belief.tokenLayers;
     belief.ownStreamsThen = belief.streams;
 }
 
@@ -224,7 +224,7 @@
     const double others = scale(domain);
     if (now - each->validAt > m_settings.reportLifetime)
         return {each->tokenLayers * others, each->streams * others, 0, false};
-    const double newUsed = std::max(0.0, each->tokenLayers - each->ownUsedThen);
+    const double newUsed = std::max(0.0, each->tokenLayers - each->ownUsedAtReport);
     const double newStreams = each->streams > each->ownStreamsThen
                                   ? static_cast<double>(each->streams - each->ownStreamsThen)
                                   : 0;
