--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -73,7 +73,7 @@
     std::uint32_t reportedActive = 0;
     std::uint32_t reportedQueued = 0;
     double ownUsedAtReport = 0; ///< own work that the report is taken to hold
-    std::uint32_t ownStreamsThen = 0;
+    std::uint32_t ownRequestsAtReport = 0;
 };
 
 /// All work on an endpoint, as far as it can be known.
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -201,7 +201,7 @@
 {
     belief.countedAt = now;
     belief.ownUsedAtReport = belief.tokenLayers;
-    belief.ownStreamsThen = belief.streams;
+    belief.ownRequestsAtReport = belief.streams;
 }
 
 void EngineTracker::stillSo(std::string_view id, Time at, Time now)
@@ -225,8 +225,8 @@
     if (now - each->validAt > m_settings.reportLifetime)
         return {each->tokenLayers * others, each->streams * others, 0, false};
     const double newUsed = std::max(0.0, each->tokenLayers - each->ownUsedAtReport);
-    const double newStreams = each->streams > each->ownStreamsThen
-                                  ? static_cast<double>(each->streams - each->ownStreamsThen)
+    const double newStreams = each->streams > each->ownRequestsAtReport
+                                  ? static_cast<double>(each->streams - each->ownRequestsAtReport)
                                   : 0;
     return {std::max(each->tokenLayers, each->reportedUsed + newUsed * others),
             std::max<double>(each->streams, each->reportedActive + newStreams * others),
