--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -108,7 +108,7 @@
     /// The endpoint refused for want of room, or of a part that it gave up. One
     /// that goes on refusing is left alone for longer and longer: each refusal
     /// costs one of the few repeats.
-    void outOfRoom(const std::string &id, Time now);
+    void refusedBusy(const std::string &id, Time now);
     /// A request ran through the endpoint.
     void hadRoom(const std::string &id);
     void setSlowdown(const std::string &id, double pace, Time now);
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -69,7 +69,7 @@
     it->second.heardAt = now;
 }
 
-void EngineTracker::outOfRoom(const std::string &id, Time now)
+void EngineTracker::refusedBusy(const std::string &id, Time now)
 {
     EngineEstimate &each = belief(id);
     // Requests sent together are refused together: that is one refusal.
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -466,7 +466,7 @@
     if (dead || (head.status == Misdirected && flight.path.empty()))
         m_book.suspect(culprit, now);
     else
-        m_book.outOfRoom(culprit, now);
+        m_book.refusedBusy(culprit, now);
     std::string reason = "refused by " + culprit + " with " + std::to_string(head.status);
     if (flight.trial.state == Trial::State::Sent) {
         endTrial(flight, TrialOutcome::Inconclusive, actions);
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -518,7 +518,7 @@
     Time now(std::chrono::hours(1));
     std::vector<Duration> pauses;
     for (int i = 0; i < 4; ++i) {
-        book.outOfRoom("e", now);
+        book.refusedBusy("e", now);
         Duration pause {};
         while (!book.usable("e", now + pause))
             pause += milliseconds(10);
@@ -528,7 +528,7 @@
     CHECK(pauses[1] > pauses[0]);
     CHECK(pauses[3] > pauses[2]);
     book.hadRoom("e");
-    book.outOfRoom("e", now);
+    book.refusedBusy("e", now);
     CHECK(book.usable("e", now + pauses[0]));
 }
 
--- a/src/libbalsamloft/relaypath.cpp
+++ b/src/libbalsamloft/relaypath.cpp
@@ -53,7 +53,7 @@
     flight->pathAskedAt.reset();
     if (reply == PathReply::Refused) {
         if (const FleetEndpoint *culprit = m_fleet->atAddress(atAddress))
-            m_book.outOfRoom(culprit->id, now);
+            m_book.refusedBusy(culprit->id, now);
         if (changePath(id, *flight, now, actions))
             return;
     }
