--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -110,7 +110,7 @@
     /// costs one of the few repeats.
     void refusedBusy(const std::string &id, Time now);
     /// A request ran through the endpoint.
-    void hadRoom(const std::string &id);
+    void resetRefusals(const std::string &id);
     void setSlowdown(const std::string &id, double pace, Time now);
     void finished(const std::string &id, bool failed, Time now);
 
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -81,7 +81,7 @@
     each.shortages += 1;
 }
 
-void EngineTracker::hadRoom(const std::string &id)
+void EngineTracker::resetRefusals(const std::string &id)
 {
     const auto it = m_beliefs.find(id);
     if (it != m_beliefs.end())
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -515,7 +515,7 @@
     }
     if (stream && !failed) {
         for (const PathPart &part : flight->path)
-            m_book.hadRoom(part.endpoint);
+            m_book.resetRefusals(part.endpoint);
         flight->state = State::Streaming;
         return true;
     }
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -527,7 +527,7 @@
     }
     CHECK(pauses[1] > pauses[0]);
     CHECK(pauses[3] > pauses[2]);
-    book.hadRoom("e");
+    book.resetRefusals("e");
     book.refusedBusy("e", now);
     CHECK(book.usable("e", now + pauses[0]));
 }
