--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -489,7 +489,7 @@
     Flight *flight = current(id, attempt);
     if (!flight)
         return false;
-    m_book.cleared(flight->endpoint, now);
+    m_book.recordAnswer(flight->endpoint, now);
     m_quarantine.endpointSentData(flight->endpoint, now);
     noteLimit(*flight, head, now);
     if (head.running && !flight->path.empty())
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -32,7 +32,7 @@
 void Relay::reported(const std::string &endpoint, const std::vector<std::string> &stalledAt,
                      double pace, Time now, RelayActions &actions)
 {
-    m_book.cleared(endpoint, now);
+    m_book.recordAnswer(endpoint, now);
     m_book.setSlowdown(endpoint, pace, now);
     for (const std::string &address : stalledAt)
         if (const FleetEndpoint *found = m_fleet->atAddress(address))
