--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -115,7 +115,7 @@
     void finished(const std::string &id, bool failed, Time now);
 
     /// The endpoint in \a domain said that \a running requests entered there.
-    void loadSeen(const std::string &id, const std::string &domain, std::uint32_t running);
+    void updateScale(const std::string &id, const std::string &domain, std::uint32_t running);
 
     /// An engine's state, as this instance or another one asked for it.
     void reported(const EngineState &state, Time now);
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -111,7 +111,7 @@
     each.answers = each.answers * kept + 1;
 }
 
-void EngineTracker::loadSeen(const std::string &id, const std::string &domain, std::uint32_t running)
+void EngineTracker::updateScale(const std::string &id, const std::string &domain, std::uint32_t running)
 {
     const EngineEstimate *each = find(id);
     if (!each || each->ownStartingHere == 0)
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -493,7 +493,7 @@
     m_quarantine.endpointSentData(flight->endpoint, now);
     noteLimit(*flight, head, now);
     if (head.running && !flight->path.empty())
-        m_book.loadSeen(flight->endpoint, flight->domain, *head.running);
+        m_book.updateScale(flight->endpoint, flight->domain, *head.running);
     if (head.notExecuted || head.status == Misdirected) {
         rejected(id, *flight, head, now, actions);
         return false;
