--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -121,7 +121,7 @@
     void reported(const EngineState &state, Time now);
 
     /// As of \a at the engine is as it was reported last.
-    void stillSo(std::string_view id, Time at, Time now);
+    void confirmUnchanged(std::string_view id, Time at, Time now);
 
     /// How many instances are believed to send work to a domain's engines.
     void setSharers(double sharers) { m_sharers = sharers; }
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -204,7 +204,7 @@
     belief.ownRequestsAtReport = belief.streams;
 }
 
-void EngineTracker::stillSo(std::string_view id, Time at, Time now)
+void EngineTracker::confirmUnchanged(std::string_view id, Time at, Time now)
 {
     const auto it = m_beliefs.find(id);
     if (it == m_beliefs.end() || it->second.reportedAt == Time {} || at <= it->second.validAt)
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -51,7 +51,7 @@
     }
     for (const FleetEndpoint &each : m_fleet->endpoints)
         if (const auto asOf = reports.asOf.find(each.domain); asOf != reports.asOf.end())
-            m_book.stillSo(each.id, asOf->second, now);
+            m_book.confirmUnchanged(each.id, asOf->second, now);
     tick(now, actions);
 }
 
