--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -124,7 +124,7 @@
     void confirmUnchanged(std::string_view id, Time at, Time now);
 
     /// How many instances are believed to send work to a domain's engines.
-    void setSharers(double sharers) { m_sharers = sharers; }
+    void setSharingInstances(double sharers) { m_sharers = sharers; }
 
     /// A request of this instance goes from \a from to \a to, two domains, and takes
     /// their pipe for \a pipeMs.
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -60,7 +60,7 @@
 
 void Relay::setInstances(std::size_t inDomain, std::size_t all, Time now)
 {
-    m_book.setSharers(static_cast<double>(inDomain));
+    m_book.setSharingInstances(static_cast<double>(inDomain));
     m_book.setInstances(static_cast<double>(all));
     // The last count before the window still held in its beginning.
     while (m_instanceCounts.size() > 1
