--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -305,7 +305,7 @@
         std::max(1.0, static_cast<double>(query.answerTokens) / std::max(1U, model.stride));
     const double hopCost = m_settings.hopMs * passes;
     std::lognormal_distribution<double> noise(0,
-                                              std::max(spread(book.sharers()), query.minCostNoise));
+                                              std::max(spread(book.sharingInstances()), query.minCostNoise));
     std::vector<Candidate> all = candidates(fleet, service, book, query, now, m_settings);
     for (Candidate &each : all)
         each.factor *= noise(random);
