--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -117,7 +117,7 @@
     if (!each || each->ownStartingHere == 0)
         return;
     const double ratio = std::clamp(static_cast<double>(running) / each->ownStartingHere, 1.0, MostScale);
-    const auto [it, fresh] = m_scales.try_emplace(domain, m_sharers);
+    const auto [it, fresh] = m_scales.try_emplace(domain, m_sharingInstances);
     it->second += ScaleWeight * (ratio - it->second);
 }
 
@@ -173,7 +173,7 @@
 double EngineTracker::scale(const std::string &domain) const
 {
     const auto it = m_scales.find(domain);
-    return it == m_scales.end() ? m_sharers : it->second;
+    return it == m_scales.end() ? m_sharingInstances : it->second;
 }
 
 void EngineTracker::reported(const EngineState &state, Time now)
