--- a/src/libbalsamloft/pathchooser_test.cpp
+++ b/src/libbalsamloft/pathchooser_test.cpp
@@ -148,7 +148,7 @@
     choice.fleet.endpoints = {engine("1", {0, 12}, "near"), engine("2", {16, 24}, "near"),
                               engine("3", {0, 24}, "far", "slow")};
     CHECK(choice()->parts.size() == 3);
-    choice.book.crossed("near", "far", 200, Now);
+    choice.book.recordTransfer("near", "far", 200, Now);
     CHECK(choice.book.linkLoad("far", "near", Now) > 0.5);
     CHECK(choice()->parts.size() == 1);
     choice.fleet.endpoints.back() = engine("3", {10, 18}, "far", "slow");
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -278,7 +278,7 @@
     for (const PathPart &part : flight.path) {
         const FleetEndpoint *to = m_fleet->find(part.endpoint);
         if (from && to && from->domain != to->domain)
-            m_book.crossed(from->domain, to->domain, pipeMs, now);
+            m_book.recordTransfer(from->domain, to->domain, pipeMs, now);
         from = to;
     }
 }
