--- a/src/include/balsamloft/orders.h
+++ b/src/include/balsamloft/orders.h
@@ -11,7 +11,7 @@
 
 namespace balsamloft {
 
-/// Settings of an OrderKeeper.
+/// Settings of an OrderManager.
 struct OrderSettings
 {
     Duration repeatAfter {5'000'000}; ///< an order that shows no effect is sent again
@@ -39,10 +39,10 @@
 using OrderActions = std::vector<SendOrder>;
 
 /// Decides which orders may be sent now.
-class OrderKeeper
+class OrderManager
 {
 public:
-    explicit OrderKeeper(OrderSettings settings = {});
+    explicit OrderManager(OrderSettings settings = {});
 
     // Commands
 
--- a/src/include/balsamloft/placementmanager.h
+++ b/src/include/balsamloft/placementmanager.h
@@ -82,7 +82,7 @@
 
     PlacementKeeperSettings m_settings;
     Placement m_placement;
-    OrderKeeper m_orders;
+    OrderManager m_orders;
     std::map<std::string, Loading> m_loading; ///< by replica
     std::map<std::string, std::string> m_unloading; ///< engine to reason, still in force
     std::map<std::string, Time> m_routedAway; ///< engine: since when not in force
--- a/src/libbalsamloft/lease_test.cpp
+++ b/src/libbalsamloft/lease_test.cpp
@@ -188,7 +188,7 @@
     // not could obey an order of the last holder that is still under way after
     // ours; it gets none until that cannot be any more, and then again and
     // again until it shows what is wanted.
-    OrderKeeper keeper;
+    OrderManager keeper;
     keeper.want({"checks", "m", "1", {0, 4}, "r"}, true);
     keeper.want({"ignores", "m", "1", {0, 4}, "r"}, false);
     const auto ordered = [&](int second) {
@@ -214,7 +214,7 @@
 
 TEST_CASE("without the lease nothing is ordered", "[lease]")
 {
-    OrderKeeper keeper;
+    OrderManager keeper;
     keeper.want({"e", "m", "1", {0, 4}, "r"}, true);
     OrderActions actions;
     keeper.tick(false, 1, seconds(0), seconds(100), actions);
--- a/src/libbalsamloft/orders.cpp
+++ b/src/libbalsamloft/orders.cpp
@@ -4,12 +4,12 @@
 
 namespace balsamloft {
 
-OrderKeeper::OrderKeeper(OrderSettings settings)
+OrderManager::OrderManager(OrderSettings settings)
     : m_settings(settings)
 {
 }
 
-void OrderKeeper::want(Assignment assignment, bool checksFencing)
+void OrderManager::want(Assignment assignment, bool checksFencing)
 {
     Wanted &wanted = m_wanted[assignment.engine];
     if (wanted.assignment == assignment)
@@ -19,25 +19,25 @@
     wanted.sent = false;
 }
 
-void OrderKeeper::forget(const std::string &engine)
+void OrderManager::forget(const std::string &engine)
 {
     m_wanted.erase(engine);
 }
 
-void OrderKeeper::observed(const ObservedEngine &engine)
+void OrderManager::observed(const ObservedEngine &engine)
 {
     const auto it = m_wanted.find(engine.engine);
     if (it != m_wanted.end())
         it->second.seen = engine;
 }
 
-bool OrderKeeper::matches(const Wanted &wanted)
+bool OrderManager::matches(const Wanted &wanted)
 {
     return wanted.seen && !wanted.seen->loading && wanted.seen->model == wanted.assignment.model
            && (wanted.assignment.model.empty() || wanted.seen->layers == wanted.assignment.layers);
 }
 
-void OrderKeeper::tick(bool holds, std::uint64_t fencing, Time acquiredAt, Time now,
+void OrderManager::tick(bool holds, std::uint64_t fencing, Time acquiredAt, Time now,
                        OrderActions &actions)
 {
     // The lease is looked at in the same step as the order is made: a holder
@@ -61,13 +61,13 @@
     }
 }
 
-bool OrderKeeper::settled(const std::string &engine) const
+bool OrderManager::settled(const std::string &engine) const
 {
     const auto it = m_wanted.find(engine);
     return it != m_wanted.end() && matches(it->second);
 }
 
-std::uint32_t OrderKeeper::loading() const
+std::uint32_t OrderManager::loading() const
 {
     return static_cast<std::uint32_t>(
         std::count_if(m_wanted.begin(), m_wanted.end(), [](const auto &item) {
@@ -75,7 +75,7 @@
         }));
 }
 
-std::vector<std::string> OrderKeeper::unsettled() const
+std::vector<std::string> OrderManager::unsettled() const
 {
     std::vector<std::string> lines;
     for (const auto &[name, wanted] : m_wanted) {
