--- a/src/include/balsamloft/orders.h
+++ b/src/include/balsamloft/orders.h
@@ -14,7 +14,7 @@
 /// Settings of an OrderManager.
 struct OrderSettings
 {
-    Duration repeatAfter {5'000'000}; ///< an order that shows no effect is sent again
+    Duration resendAfter {5'000'000}; ///< an order that shows no effect is sent again
     Duration transit {5'000'000}; ///< longest that an order can be under way
     Duration leaseDuration {9'000'000};
 };
--- a/src/libbalsamloft/orders.cpp
+++ b/src/libbalsamloft/orders.cpp
@@ -52,7 +52,7 @@
     for (auto &[name, wanted] : m_wanted) {
         if (matches(wanted) || (!wanted.checksFencing && !oldOrdersOver))
             continue;
-        if (wanted.sent && now - wanted.sentAt < m_settings.repeatAfter)
+        if (wanted.sent && now - wanted.sentAt < m_settings.resendAfter)
             continue;
         wanted.sent = true;
         wanted.sentAt = now;
