--- a/src/include/balsamloft/orders.h
+++ b/src/include/balsamloft/orders.h
@@ -15,7 +15,7 @@
 struct OrderSettings
 {
     Duration resendAfter {5'000'000}; ///< an order that shows no effect is sent again
-    Duration transit {5'000'000}; ///< longest that an order can be under way
+    Duration maxTransit {5'000'000}; ///< longest that an order can be under way
     Duration leaseDuration {9'000'000};
 };
 
--- a/src/libbalsamloft/orders.cpp
+++ b/src/libbalsamloft/orders.cpp
@@ -48,7 +48,7 @@
     // under way. One that does not check would take it, even after ours; so it
     // gets nothing before the old lease and the last order must be over.
     const bool oldOrdersOver =
-        fencing == 1 || now - acquiredAt >= m_settings.leaseDuration + m_settings.transit;
+        fencing == 1 || now - acquiredAt >= m_settings.leaseDuration + m_settings.maxTransit;
     for (auto &[name, wanted] : m_wanted) {
         if (matches(wanted) || (!wanted.checksFencing && !oldOrdersOver))
             continue;
