--- a/src/balsamloftd/controlplacement.cpp
+++ b/src/balsamloftd/controlplacement.cpp
@@ -44,7 +44,7 @@
     if (!m_inForce)
         return;
     for (const std::string &name :
-         PlacementKeeper::placeableEngines(*m_inForce, m_settings.domain)) {
+         PlacementManager::placeableEngines(*m_inForce, m_settings.domain)) {
         HttpRequest request(http::verb::get, "/v1/state", 11);
         HttpClient::Options options;
         options.timeout = EngineTimeout;
--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -114,7 +114,7 @@
     PeerSocket m_peers;
     Membership m_membership;
     LeaseKeeper m_lease;
-    PlacementKeeper m_placement;
+    PlacementManager m_placement;
     HttpClient m_engineClient;
     ConfigPtr m_inForce;
     std::map<std::string, double> m_demandTotals;
--- a/src/include/balsamloft/placementmanager.h
+++ b/src/include/balsamloft/placementmanager.h
@@ -9,7 +9,7 @@
 
 namespace balsamloft {
 
-/// Settings of a PlacementKeeper.
+/// Settings of a PlacementManager.
 struct PlacementKeeperSettings
 {
     std::string domain;
@@ -38,12 +38,12 @@
 /// Loads before it routes, and routes away before it unloads. All it must
 /// remember beyond its own life is in the configuration; a new holder starts
 /// from that and from what the engines show.
-class PlacementKeeper
+class PlacementManager
 {
 public:
     using DemandFunction = std::function<double(std::string_view model)>;
 
-    explicit PlacementKeeper(PlacementKeeperSettings settings);
+    explicit PlacementManager(PlacementKeeperSettings settings);
 
     // Commands
 
--- a/src/libbalsamloft/placementmanager.cpp
+++ b/src/libbalsamloft/placementmanager.cpp
@@ -29,14 +29,14 @@
                       {"layers", {assignment.layers.begin, assignment.layers.end}}});
 }
 
-PlacementKeeper::PlacementKeeper(PlacementKeeperSettings settings)
+PlacementManager::PlacementManager(PlacementKeeperSettings settings)
     : m_settings(std::move(settings))
     , m_placement(m_settings.placement)
     , m_orders(m_settings.orders)
 {
 }
 
-std::vector<std::string> PlacementKeeper::placeableEngines(const Config &config,
+std::vector<std::string> PlacementManager::placeableEngines(const Config &config,
                                                            std::string_view domain)
 {
     std::vector<std::string> names;
@@ -47,14 +47,14 @@
     return names;
 }
 
-void PlacementKeeper::note(const std::string &line)
+void PlacementManager::note(const std::string &line)
 {
     if (m_notes.size() >= MaxNotes)
         m_notes.erase(m_notes.begin());
     m_notes.push_back(line);
 }
 
-void PlacementKeeper::tick(const Config &config, const ConfigEntries &entries,
+void PlacementManager::tick(const Config &config, const ConfigEntries &entries,
                            const LeaseView &lease, const DemandFunction &demand, Time now,
                            OrderActions &orders, std::vector<ProposePlacement> &proposals)
 {
@@ -79,7 +79,7 @@
     m_proposing = !proposals.empty();
 }
 
-void PlacementKeeper::startSteps(const Config &config, const DemandFunction &demand, Time now)
+void PlacementManager::startSteps(const Config &config, const DemandFunction &demand, Time now)
 {
     std::vector<PlacementEngine> engines;
     std::vector<Assignment> current;
@@ -120,7 +120,7 @@
     }
 }
 
-void PlacementKeeper::assertAll(const Config &config, Time now)
+void PlacementManager::assertAll(const Config &config, Time now)
 {
     std::map<std::string, Assignment> wanted;
     for (const Endpoint &endpoint : config.endpoints()) {
@@ -152,7 +152,7 @@
     }
 }
 
-void PlacementKeeper::proposeLoaded(const ConfigEntries &entries,
+void PlacementManager::proposeLoaded(const ConfigEntries &entries,
                                     std::vector<ProposePlacement> &proposals)
 {
     for (auto it = m_loading.begin(); it != m_loading.end(); ++it) {
@@ -183,7 +183,7 @@
     }
 }
 
-void PlacementKeeper::proposeUnload(const ConfigEntries &entries,
+void PlacementManager::proposeUnload(const ConfigEntries &entries,
                                     std::vector<ProposePlacement> &proposals)
 {
     ProposePlacement proposal;
@@ -202,7 +202,7 @@
         proposals.push_back(std::move(proposal));
 }
 
-std::vector<std::string> PlacementKeeper::explain() const
+std::vector<std::string> PlacementManager::explain() const
 {
     std::vector<std::string> lines = m_notes;
     for (std::string &line : m_orders.unsettled())
