--- a/src/balsamloftd/controlplane.cpp
+++ b/src/balsamloftd/controlplane.cpp
@@ -56,9 +56,9 @@
     return result;
 }
 
-PlacementKeeperSettings placementSettings(const DaemonSettings &settings)
+PlacementManagerSettings placementSettings(const DaemonSettings &settings)
 {
-    PlacementKeeperSettings result;
+    PlacementManagerSettings result;
     result.domain = settings.domain;
     result.routeAwayTime = settings.routeAway;
     result.orders.leaseDuration = settings.lease;
--- a/src/include/balsamloft/placementmanager.h
+++ b/src/include/balsamloft/placementmanager.h
@@ -10,7 +10,7 @@
 namespace balsamloft {
 
 /// Settings of a PlacementManager.
-struct PlacementKeeperSettings
+struct PlacementManagerSettings
 {
     std::string domain;
     Duration planInterval {2'000'000};
@@ -43,7 +43,7 @@
 public:
     using DemandFunction = std::function<double(std::string_view model)>;
 
-    explicit PlacementManager(PlacementKeeperSettings settings);
+    explicit PlacementManager(PlacementManagerSettings settings);
 
     // Commands
 
@@ -80,7 +80,7 @@
     void proposeUnload(const ConfigEntries &entries, std::vector<ProposePlacement> &proposals);
     void note(const std::string &line);
 
-    PlacementKeeperSettings m_settings;
+    PlacementManagerSettings m_settings;
     Placement m_placement;
     OrderManager m_orders;
     std::map<std::string, Loading> m_loading; ///< by replica
--- a/src/libbalsamloft/placementmanager.cpp
+++ b/src/libbalsamloft/placementmanager.cpp
@@ -29,7 +29,7 @@
                       {"layers", {assignment.layers.begin, assignment.layers.end}}});
 }
 
-PlacementManager::PlacementManager(PlacementKeeperSettings settings)
+PlacementManager::PlacementManager(PlacementManagerSettings settings)
     : m_settings(std::move(settings))
     , m_placement(m_settings.placement)
     , m_orders(m_settings.orders)
