--- a/src/balsamloftd/controlplane.cpp
+++ b/src/balsamloftd/controlplane.cpp
@@ -60,7 +60,7 @@
 {
     PlacementManagerSettings result;
     result.domain = settings.domain;
-    result.routeAwayTime = settings.routeAway;
+    result.unloadDelay = settings.routeAway;
     result.orders.leaseDuration = settings.lease;
     return result;
 }
--- a/src/include/balsamloft/placementmanager.h
+++ b/src/include/balsamloft/placementmanager.h
@@ -14,7 +14,7 @@
 {
     std::string domain;
     Duration planInterval {2'000'000};
-    Duration routeAwayTime {15'000'000}; ///< from "not in force" to the order to unload
+    Duration unloadDelay {15'000'000}; ///< from "not in force" to the order to unload
     PlacementSettings placement;
     OrderSettings orders;
 };
--- a/src/libbalsamloft/placementmanager.cpp
+++ b/src/libbalsamloft/placementmanager.cpp
@@ -144,7 +144,7 @@
         // Instances that have not heard yet may still send it work: it keeps
         // what it holds until the change must be in force everywhere.
         if (assignment.model.empty() && away != m_routedAway.end()) {
-            if (now - away->second < m_settings.routeAwayTime)
+            if (now - away->second < m_settings.unloadDelay)
                 continue;
             m_routedAway.erase(away);
         }
