--- a/src/libbalsamloft/placement.cpp
+++ b/src/libbalsamloft/placement.cpp
@@ -208,7 +208,7 @@
                     ++loading;
                 }
             }
-        } else if (low && now - *state.lowSince >= m_settings.holdBeforeDown) {
+        } else if (low && now - *state.lowSince >= m_settings.scaleDownDelay) {
             const Replica *slowest = *std::min_element(
                 whole.begin(), whole.end(),
                 [](const Replica *a, const Replica *b) { return a->rate < b->rate; });
