--- a/src/include/balsamloft/placement.h
+++ b/src/include/balsamloft/placement.h
@@ -50,7 +50,7 @@
     double scaleUpAbove = 0.8; ///< of the rate of the replicas held
     double scaleDownBelow = 0.3;
     Duration scaleDownDelay {300'000'000}; ///< low demand must last this long
-    Duration idleBeforeZero {900'000'000};
+    Duration scaleToZeroDelay {900'000'000};
     std::uint32_t maxLoads = 2; ///< at a time: the weight store is rate-limited
 };
 
--- a/src/libbalsamloft/placement.cpp
+++ b/src/libbalsamloft/placement.cpp
@@ -187,7 +187,7 @@
             state.lowSince = now;
 
         const bool zeroAllowed = model->scaleToZero && state.idleSince
-                                 && now - *state.idleSince >= m_settings.idleBeforeZero;
+                                 && now - *state.idleSince >= m_settings.scaleToZeroDelay;
         const bool neverWanted = model->scaleToZero && model->demand <= 0;
         if (broken && (!whole.empty() || zeroAllowed || free.empty())) {
             // Never the last one that works, but a broken one holds engines
