--- a/src/include/balsamloft/placement.h
+++ b/src/include/balsamloft/placement.h
@@ -51,7 +51,7 @@
     double scaleDownBelow = 0.3;
     Duration scaleDownDelay {300'000'000}; ///< low demand must last this long
     Duration scaleToZeroDelay {900'000'000};
-    std::uint32_t maxLoads = 2; ///< at a time: the weight store is rate-limited
+    std::uint32_t maxConcurrentLoads = 2; ///< at a time: the weight store is rate-limited
 };
 
 /// Why a step is taken, for `explain`.
--- a/src/libbalsamloft/placement.cpp
+++ b/src/libbalsamloft/placement.cpp
@@ -194,14 +194,14 @@
             // that could do something.
             steps.push_back(shrink(*broken, model->name + ": a replica is not whole any more"));
         } else if (whole.empty() && !neverWanted) {
-            if (loading < m_settings.maxLoads) {
+            if (loading < m_settings.maxConcurrentLoads) {
                 if (auto step = grow(*model, free, model->name + ": no replica yet")) {
                     steps.push_back(std::move(*step));
                     ++loading;
                 }
             }
         } else if (!whole.empty() && model->demand > m_settings.scaleUpAbove * rate) {
-            if (loading < m_settings.maxLoads) {
+            if (loading < m_settings.maxConcurrentLoads) {
                 if (auto step =
                         grow(*model, free, model->name + ": demand is near the rate held")) {
                     steps.push_back(std::move(*step));
