--- a/src/include/balsamloft/loadview.h
+++ b/src/include/balsamloft/loadview.h
@@ -129,7 +129,7 @@
 
     /// Returns whether one more request fits.  beyond slots may be
     /// overcommitted, for what the endpoint puts first.
-    bool hasRoom(EndpointId id, std::uint32_t beyond, Time now) const;
+    bool hasFreeSlot(EndpointId id, std::uint32_t beyond, Time now) const;
 
     /// Returns whether the endpoint may get new work, room aside.
     bool usable(EndpointId id) const;
--- a/src/include/balsamloft/routing.h
+++ b/src/include/balsamloft/routing.h
@@ -145,7 +145,7 @@
     EndpointId drawByWeight(const RouteTable::Group &group);
     Pick scan(const Decision &decision);
 
-    bool hasRoom(const Decision &decision, EndpointId id) const;
+    bool hasFreeSlot(const Decision &decision, EndpointId id) const;
     bool inTime(const Decision &decision, EndpointId id) const;
     bool mayUse(const Decision &decision, EndpointId id) const;
     double cost(const Decision &decision, EndpointId id, bool byAffinity) const;
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -125,7 +125,7 @@
     return state.own + (fresh ? state.expectedOthers : 0);
 }
 
-bool LoadView::hasRoom(EndpointId id, std::uint32_t beyond, Time now) const
+bool LoadView::hasFreeSlot(EndpointId id, std::uint32_t beyond, Time now) const
 {
     const EndpointState &state = m_states[id];
     if (now < state.pausedUntil && beyond == 0)
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -209,10 +209,10 @@
     return true;
 }
 
-bool ChainChooser::hasRoom(const Decision &decision, EndpointId id) const
+bool ChainChooser::hasFreeSlot(const Decision &decision, EndpointId id) const
 {
     const bool alert = decision.query.priority == Priority::Alert;
-    return decision.loads.hasRoom(id, alert ? m_settings.alertOvercommit : 0, decision.now);
+    return decision.loads.hasFreeSlot(id, alert ? m_settings.alertOvercommit : 0, decision.now);
 }
 
 bool ChainChooser::inTime(const Decision &decision, EndpointId id) const
@@ -228,7 +228,7 @@
         decision.query.priority != Priority::Alert
         && std::find(decision.group.forAlerts.begin(), decision.group.forAlerts.end(), id)
                != decision.group.forAlerts.end();
-    return !kept && id != decision.query.avoid && decision.loads.usable(id) && hasRoom(decision, id)
+    return !kept && id != decision.query.avoid && decision.loads.usable(id) && hasFreeSlot(decision, id)
            && inTime(decision, id);
 }
 
@@ -284,7 +284,7 @@
         const EndpointId id = members[(offset + i) % members.size()];
         const EndpointState &state = decision.loads.state(id);
         if (id != decision.query.avoid && state.configured && !state.leaving && !state.reportedLeaving
-            && hasRoom(decision, id))
+            && hasFreeSlot(decision, id))
             return {id, cost(decision, id, false), false};
     }
     return {};
@@ -368,7 +368,7 @@
     for (const EndpointId id : decision.group.forAlerts) {
         // Without overcommitment: a full one is no better than any other.
         if (!decision.loads.usable(id) || id == decision.query.avoid
-            || !decision.loads.hasRoom(id, 0, decision.now))
+            || !decision.loads.hasFreeSlot(id, 0, decision.now))
             continue;
         const double expected = cost(decision, id, false);
         if (best.endpoint == NoEndpoint || expected < best.cost)
