--- a/src/include/balsamloft/coverage.h
+++ b/src/include/balsamloft/coverage.h
@@ -24,7 +24,7 @@
     Coverage(const FleetSnapshot &fleet, const RoutedService &service, std::string_view domain);
 
     /// The least number of engines that hold a layer.
-    std::uint32_t least() const;
+    std::uint32_t minHolders() const;
 
     /// Layers that exactly one engine holds.
     std::uint32_t layersHeldOnce() const;
--- a/src/libbalsamloft/coverage.cpp
+++ b/src/libbalsamloft/coverage.cpp
@@ -23,7 +23,7 @@
     }
 }
 
-std::uint32_t Coverage::least() const
+std::uint32_t Coverage::minHolders() const
 {
     return m_copies.empty() ? 0 : *std::min_element(m_copies.begin(), m_copies.end());
 }
--- a/src/libbalsamloft/gapfiller_test.cpp
+++ b/src/libbalsamloft/gapfiller_test.cpp
@@ -96,7 +96,7 @@
     CHECK(domain.fill(filler, milliseconds(500)).empty());
     domain.carryOut(orders);
     domain.remove("b");
-    CHECK(Coverage(domain.fleet, domain.service, "near").least() == 1);
+    CHECK(Coverage(domain.fleet, domain.service, "near").minHolders() == 1);
     CHECK(domain.fill(filler, milliseconds(500)).empty());
 }
 
@@ -215,7 +215,7 @@
     domain.add("b", {2, 5});
     domain.add("c", {7, 8});
     const Coverage coverage(domain.fleet, domain.service, "near");
-    CHECK(coverage.least() == 0);
+    CHECK(coverage.minHolders() == 0);
     CHECK(coverage.gaps() == "5-7");
     CHECK(coverage.layersHeldOnce() == 5);
     CHECK(Coverage(domain.fleet, domain.service, "far").gaps() == "0-8");
