--- a/src/include/balsamloft/orders.h
+++ b/src/include/balsamloft/orders.h
@@ -48,7 +48,7 @@
 
     /// Wants \a assignment at its engine. \a checksFencing: the engine refuses
     /// orders with an old fencing number.
-    void want(Assignment assignment, bool checksFencing);
+    void setWanted(Assignment assignment, bool checksFencing);
     void forget(const std::string &engine);
     void observed(const ObservedEngine &engine);
 
--- a/src/libbalsamloft/lease_test.cpp
+++ b/src/libbalsamloft/lease_test.cpp
@@ -189,8 +189,8 @@
     // ours; it gets none until that cannot be any more, and then again and
     // again until it shows what is wanted.
     OrderManager keeper;
-    keeper.want({"checks", "m", "1", {0, 4}, "r"}, true);
-    keeper.want({"ignores", "m", "1", {0, 4}, "r"}, false);
+    keeper.setWanted({"checks", "m", "1", {0, 4}, "r"}, true);
+    keeper.setWanted({"ignores", "m", "1", {0, 4}, "r"}, false);
     const auto ordered = [&](int second) {
         OrderActions actions;
         keeper.tick(true, 2, seconds(0), seconds(second), actions);
@@ -215,7 +215,7 @@
 TEST_CASE("without the lease nothing is ordered", "[lease]")
 {
     OrderManager keeper;
-    keeper.want({"e", "m", "1", {0, 4}, "r"}, true);
+    keeper.setWanted({"e", "m", "1", {0, 4}, "r"}, true);
     OrderActions actions;
     keeper.tick(false, 1, seconds(0), seconds(100), actions);
     CHECK(actions.empty());
--- a/src/libbalsamloft/orders.cpp
+++ b/src/libbalsamloft/orders.cpp
@@ -9,7 +9,7 @@
 {
 }
 
-void OrderManager::want(Assignment assignment, bool checksFencing)
+void OrderManager::setWanted(Assignment assignment, bool checksFencing)
 {
     Wanted &wanted = m_wanted[assignment.engine];
     if (wanted.assignment == assignment)
