--- a/src/include/balsamloft/orders.h
+++ b/src/include/balsamloft/orders.h
@@ -58,7 +58,7 @@
 
     // Queries
 
-    bool settled(const std::string &engine) const;
+    bool isApplied(const std::string &engine) const;
 
     /// Loads that were ordered and are not observed yet.
     std::uint32_t loading() const;
--- a/src/libbalsamloft/orders.cpp
+++ b/src/libbalsamloft/orders.cpp
@@ -61,7 +61,7 @@
     }
 }
 
-bool OrderManager::settled(const std::string &engine) const
+bool OrderManager::isApplied(const std::string &engine) const
 {
     const auto it = m_wanted.find(engine);
     return it != m_wanted.end() && matches(it->second);
