--- a/src/include/balsamloft/orders.h
+++ b/src/include/balsamloft/orders.h
@@ -64,7 +64,7 @@
     std::uint32_t loading() const;
 
     /// Engines that show another state than wanted, with what they show.
-    std::vector<std::string> unsettled() const;
+    std::vector<std::string> mismatches() const;
     std::uint64_t ordersSent() const { return m_ordersSent; }
 
 private:
--- a/src/libbalsamloft/orders.cpp
+++ b/src/libbalsamloft/orders.cpp
@@ -75,7 +75,7 @@
         }));
 }
 
-std::vector<std::string> OrderManager::unsettled() const
+std::vector<std::string> OrderManager::mismatches() const
 {
     std::vector<std::string> lines;
     for (const auto &[name, wanted] : m_wanted) {
