--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -110,7 +110,7 @@
     boost::asio::steady_timer m_timer;
     std::unique_ptr<Platform> m_platform;
     ConfigKeeper m_config;
-    ClaimKeeper m_claims;
+    ClaimManager m_claims;
     PeerSocket m_peers;
     Membership m_membership;
     LeaseKeeper m_lease;
--- a/src/fakes/routerharness.cpp
+++ b/src/fakes/routerharness.cpp
@@ -29,7 +29,7 @@
         ClaimSettings claims;
         claims.instance = "i" + std::to_string(i);
         m_routers.push_back(
-            {Router(m_settings.router, m_settings.seed + i * 7919), ClaimKeeper(claims), {}});
+            {Router(m_settings.router, m_settings.seed + i * 7919), ClaimManager(claims), {}});
     }
     for (std::size_t i = 0; i < m_routers.size(); ++i)
         withRouter(
--- a/src/fakes/routerharness.h
+++ b/src/fakes/routerharness.h
@@ -104,7 +104,7 @@
     struct Instance
     {
         Router router;
-        ClaimKeeper claims;
+        ClaimManager claims;
         Time wakeAt {};
     };
     struct Event
--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -11,7 +11,7 @@
 
 namespace balsamloft {
 
-/// Settings of a ClaimKeeper.
+/// Settings of a ClaimManager.
 struct ClaimSettings
 {
     std::string instance; ///< name of this instance and its incarnation
@@ -32,7 +32,7 @@
     auto operator<=>(const ClaimOwner &) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-/// Actions of a ClaimKeeper.
+/// Actions of a ClaimManager.
 struct ClaimTransact
 {
     std::uint64_t id = 0;
@@ -61,10 +61,10 @@
 /// start anew, and a late write meant for an old row would fit a new one. Writes are
 /// grouped: one transaction is under way at a time, and what comes meanwhile
 /// goes into the next.
-class ClaimKeeper
+class ClaimManager
 {
 public:
-    explicit ClaimKeeper(ClaimSettings settings);
+    explicit ClaimManager(ClaimSettings settings);
 
     // Commands
 
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -40,12 +40,12 @@
 
 } // namespace
 
-ClaimKeeper::ClaimKeeper(ClaimSettings settings)
+ClaimManager::ClaimManager(ClaimSettings settings)
     : m_settings(std::move(settings))
 {
 }
 
-void ClaimKeeper::claim(ClaimOwner owner, const StartClaim &start, Time now, ClaimActions &actions)
+void ClaimManager::claim(ClaimOwner owner, const StartClaim &start, Time now, ClaimActions &actions)
 {
     Claim &claim = m_claims[owner];
     claim.owner = owner;
@@ -59,7 +59,7 @@
     flush(now, actions);
 }
 
-void ClaimKeeper::settle(ClaimOwner owner, ClaimEnd end, const Answer &answer, Time now,
+void ClaimManager::settle(ClaimOwner owner, ClaimEnd end, const Answer &answer, Time now,
                          ClaimActions &actions)
 {
     const auto it = m_won.find(owner);
@@ -86,13 +86,13 @@
     flush(now, actions);
 }
 
-std::string ClaimKeeper::claimedValue(const Claim &claim) const
+std::string ClaimManager::claimedValue(const Claim &claim) const
 {
     return json::serialize(json::object {
         {"nonce", claim.nonce}, {"digest", claim.contentDigest}, {"state", "claimed"}});
 }
 
-void ClaimKeeper::flush(Time now, ClaimActions &actions)
+void ClaimManager::flush(Time now, ClaimActions &actions)
 {
     if (!m_batches.empty())
         return;
@@ -143,7 +143,7 @@
     actions.push_back(ClaimTransact {id, std::move(transaction)});
 }
 
-void ClaimKeeper::transactionDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
+void ClaimManager::transactionDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
                                   ClaimActions &actions)
 {
     const auto it = m_batches.find(id);
@@ -168,7 +168,7 @@
     flush(now, actions);
 }
 
-void ClaimKeeper::committed(const Batch &batch, Time now, ClaimActions &actions)
+void ClaimManager::committed(const Batch &batch, Time now, ClaimActions &actions)
 {
     m_claimsWritten += batch.claims.size();
     for (const ClaimOwner &owner : batch.claims) {
@@ -180,7 +180,7 @@
     }
 }
 
-void ClaimKeeper::conflicted(Batch batch, const TransactionOutcome &outcome, ClaimActions &actions)
+void ClaimManager::conflicted(Batch batch, const TransactionOutcome &outcome, ClaimActions &actions)
 {
     const auto inConflict = [&](const std::string &key) {
         return std::any_of(outcome.conflicts.begin(), outcome.conflicts.end(),
@@ -203,7 +203,7 @@
     }
 }
 
-void ClaimKeeper::uncertain(Batch batch, Time now, ClaimActions &actions)
+void ClaimManager::uncertain(Batch batch, Time now, ClaimActions &actions)
 {
     for (const ClaimOwner &owner : batch.claims) {
         const auto it = m_claims.find(owner);
@@ -218,7 +218,7 @@
     }
 }
 
-void ClaimKeeper::notCommitted(Batch batch, Time now)
+void ClaimManager::notCommitted(Batch batch, Time now)
 {
     for (const ClaimOwner &owner : batch.claims) {
         const auto it = m_claims.find(owner);
@@ -231,17 +231,17 @@
     }
 }
 
-Duration ClaimKeeper::delay(std::uint32_t tries) const
+Duration ClaimManager::delay(std::uint32_t tries) const
 {
     return doubled(m_settings.retryDelay, tries, m_settings.longestRetryDelay);
 }
 
-void ClaimKeeper::retryLater(Claim &claim, Time now)
+void ClaimManager::retryLater(Claim &claim, Time now)
 {
     claim.retryAt = now + delay(claim.tries++);
 }
 
-void ClaimKeeper::readRow(Claim &claim, ClaimActions &actions)
+void ClaimManager::readRow(Claim &claim, ClaimActions &actions)
 {
     claim.retryAt = Time {};
     const std::uint64_t id = m_nextId++;
@@ -249,7 +249,7 @@
     actions.push_back(ClaimRead {id, claim.rowKey});
 }
 
-void ClaimKeeper::rowFound(Claim &claim, const TableRow &row, Time now, ClaimActions &actions)
+void ClaimManager::rowFound(Claim &claim, const TableRow &row, Time now, ClaimActions &actions)
 {
     Reason reason;
     const auto value = parseJson(row.value, reason);
@@ -283,7 +283,7 @@
     claimDenied(claim, std::move(answer), actions);
 }
 
-void ClaimKeeper::readDone(std::uint64_t id, const ReadOutcome &outcome, Time now,
+void ClaimManager::readDone(std::uint64_t id, const ReadOutcome &outcome, Time now,
                            ClaimActions &actions)
 {
     const auto read = m_reads.find(id);
@@ -316,7 +316,7 @@
     flush(now, actions);
 }
 
-void ClaimKeeper::claimWon(Claim &claim, Time now, ClaimActions &actions)
+void ClaimManager::claimWon(Claim &claim, Time now, ClaimActions &actions)
 {
     const ClaimOwner owner = claim.owner;
     const bool abandoned = claim.abandoned;
@@ -329,7 +329,7 @@
     actions.push_back(ClaimDecided {owner, {ClaimAnswer::Kind::Won, {}}});
 }
 
-void ClaimKeeper::claimDenied(const Claim &claim, ClaimAnswer answer, ClaimActions &actions)
+void ClaimManager::claimDenied(const Claim &claim, ClaimAnswer answer, ClaimActions &actions)
 {
     const ClaimOwner owner = claim.owner;
     if (!claim.abandoned)
@@ -337,13 +337,13 @@
     m_claims.erase(owner);
 }
 
-void ClaimKeeper::expire(Claim &claim, ClaimActions &actions)
+void ClaimManager::expire(Claim &claim, ClaimActions &actions)
 {
     claim.abandoned = true;
     actions.push_back(ClaimDecided {claim.owner, {ClaimAnswer::Kind::Unavailable, {}}});
 }
 
-void ClaimKeeper::tick(Time now, ClaimActions &actions)
+void ClaimManager::tick(Time now, ClaimActions &actions)
 {
     std::vector<ClaimOwner> gone;
     for (auto &[owner, claim] : m_claims) {
@@ -367,7 +367,7 @@
     flush(now, actions);
 }
 
-std::optional<Time> ClaimKeeper::nextWakeup() const
+std::optional<Time> ClaimManager::nextWakeup() const
 {
     std::optional<Time> next;
     const auto consider = [&](Time at) {
--- a/src/libbalsamloft/claims_test.cpp
+++ b/src/libbalsamloft/claims_test.cpp
@@ -46,8 +46,8 @@
     // the request. Then a sends its write again. If that fitted b's row, the
     // key would be free and a third request would run it a second time.
     TableModel tables;
-    ClaimKeeper a({.instance = "a"});
-    ClaimKeeper b({.instance = "b"});
+    ClaimManager a({.instance = "a"});
+    ClaimManager b({.instance = "b"});
     ClaimActions actions;
     a.claim({0, 1}, claimOf(1, at(1000)), at(0), actions);
     ClaimTransact claimA = onlyTransaction(actions);
@@ -85,7 +85,7 @@
 
 TEST_CASE("claims that come while one is under way share the next transaction", "[claims]")
 {
-    ClaimKeeper keeper({.instance = "a", .batchSize = 10});
+    ClaimManager keeper({.instance = "a", .batchSize = 10});
     TableModel tables;
     ClaimActions actions;
     for (RequestId request = 1; request <= 21; ++request)
@@ -112,7 +112,7 @@
 {
     // Callers have their answers. The table is down for long; of the oldest
     // keys a repeat will be told "unknown", which is true, and nothing grows.
-    ClaimKeeper keeper({.instance = "a", .batchSize = 1, .maxUnsettled = 5});
+    ClaimManager keeper({.instance = "a", .batchSize = 1, .maxUnsettled = 5});
     TableModel tables;
     ClaimActions actions;
     for (RequestId request = 1; request <= 20; ++request) {
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -108,7 +108,7 @@
         }
     }
 
-    std::vector<ClaimKeeper> m_keepers;
+    std::vector<ClaimManager> m_keepers;
     std::vector<std::pair<std::uint32_t, ClaimAction>> m_underWay;
     std::map<ClaimOwner, std::string> m_keys;
     std::vector<ClaimOwner> m_running;
