--- a/src/balsamloftd/controlactions.cpp
+++ b/src/balsamloftd/controlactions.cpp
@@ -148,7 +148,7 @@
         node.mapped()(std::move(action.outcome));
 }
 
-void ControlPlane::operator()(ClaimTransact &action)
+void ControlPlane::operator()(RunClaimTransaction &action)
 {
     m_platform->transact(std::move(action.transaction),
                          [this, id = action.id](const TransactionOutcome &outcome) {
--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -94,7 +94,7 @@
     void operator()(CommitConfig &action);
     void operator()(InstallConfig &action);
     void operator()(ProposalDecided &action);
-    void operator()(ClaimTransact &action);
+    void operator()(RunClaimTransaction &action);
     void operator()(ClaimRead &action);
     void operator()(ClaimDecided &action);
     void operator()(SendToPeer &action);
--- a/src/fakes/routerharness.cpp
+++ b/src/fakes/routerharness.cpp
@@ -150,7 +150,7 @@
 void RouterHarness::perform(std::size_t router, ClaimActions &actions)
 {
     for (ClaimAction &action : actions) {
-        if (auto *transact = std::get_if<ClaimTransact>(&action)) {
+        if (auto *transact = std::get_if<RunClaimTransaction>(&action)) {
             at(m_now + m_settings.tableLatency, [this, router, transact = *transact] {
                 TransactionOutcome outcome {TransactionOutcome::Kind::NotCommitted, {}};
                 if (!tablesDown)
--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -33,7 +33,7 @@
 };
 
 /// Actions of a ClaimManager.
-struct ClaimTransact
+struct RunClaimTransaction
 {
     std::uint64_t id = 0;
     Transaction transaction;
@@ -48,7 +48,7 @@
     ClaimOwner owner;
     ClaimAnswer answer;
 };
-using ClaimAction = std::variant<ClaimTransact, ClaimRead, ClaimDecided>;
+using ClaimAction = std::variant<RunClaimTransaction, ClaimRead, ClaimDecided>;
 using ClaimActions = std::vector<ClaimAction>;
 
 /// Name of the table that holds the claims.
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -140,7 +140,7 @@
     const std::uint64_t id = m_nextId++;
     m_batches.emplace(id, std::move(batch));
     ++m_transactions;
-    actions.push_back(ClaimTransact {id, std::move(transaction)});
+    actions.push_back(RunClaimTransaction {id, std::move(transaction)});
 }
 
 void ClaimManager::transactionDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
--- a/src/libbalsamloft/claims_test.cpp
+++ b/src/libbalsamloft/claims_test.cpp
@@ -22,11 +22,11 @@
 }
 
 /// Takes the only action, which must be a transaction.
-ClaimTransact onlyTransaction(const ClaimActions &actions)
+RunClaimTransaction onlyTransaction(const ClaimActions &actions)
 {
     REQUIRE(actions.size() == 1);
-    REQUIRE(std::holds_alternative<ClaimTransact>(actions.front()));
-    return std::get<ClaimTransact>(actions.front());
+    REQUIRE(std::holds_alternative<RunClaimTransaction>(actions.front()));
+    return std::get<RunClaimTransaction>(actions.front());
 }
 
 bool won(const ClaimActions &actions)
@@ -50,20 +50,20 @@
     ClaimManager b({.instance = "b"});
     ClaimActions actions;
     a.claim({0, 1}, claimOf(1, at(1000)), at(0), actions);
-    ClaimTransact claimA = onlyTransaction(actions);
+    RunClaimTransaction claimA = onlyTransaction(actions);
     actions.clear();
     a.transactionDone(claimA.id, tables.transact(claimA.transaction), at(1), actions);
     REQUIRE(won(actions));
     actions.clear();
     a.settle({0, 1}, ClaimEnd::NotRun, {}, at(2), actions);
-    const ClaimTransact release = onlyTransaction(actions);
+    const RunClaimTransaction release = onlyTransaction(actions);
     actions.clear();
     REQUIRE(tables.transact(release.transaction).kind == TransactionOutcome::Kind::Committed);
     a.transactionDone(release.id, {}, at(3), actions);
     REQUIRE(actions.empty());
 
     b.claim({0, 1}, claimOf(1, at(1000)), at(4), actions);
-    ClaimTransact claimB = onlyTransaction(actions);
+    RunClaimTransaction claimB = onlyTransaction(actions);
     actions.clear();
     b.transactionDone(claimB.id, tables.transact(claimB.transaction), at(5), actions);
     if (!won(actions)) { // the row is there, marked free: read, then claimed
@@ -79,7 +79,7 @@
 
     actions.clear();
     a.tick(at(500), actions);
-    const ClaimTransact again = onlyTransaction(actions);
+    const RunClaimTransaction again = onlyTransaction(actions);
     CHECK(tables.transact(again.transaction).kind == TransactionOutcome::Kind::Conflict);
 }
 
@@ -96,7 +96,7 @@
     while (!actions.empty()) {
         ClaimActions next;
         for (const ClaimAction &action : actions) {
-            if (const auto *transact = std::get_if<ClaimTransact>(&action))
+            if (const auto *transact = std::get_if<RunClaimTransaction>(&action))
                 keeper.transactionDone(transact->id, tables.transact(transact->transaction), at(1),
                                        next);
             else
@@ -126,7 +126,7 @@
     for (RequestId request = 1; request <= 20; ++request) {
         keeper.settle({0, request}, ClaimEnd::Finished, {}, at(1), actions);
         for (const ClaimAction &action : std::exchange(actions, {})) {
-            const auto &transact = std::get<ClaimTransact>(action);
+            const auto &transact = std::get<RunClaimTransaction>(action);
             keeper.transactionDone(transact.id, {TransactionOutcome::Kind::NotCommitted, {}}, at(1),
                                    actions);
         }
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -69,7 +69,7 @@
         const bool unreached = fault % 4 == 1;
         const bool lost = fault % 4 == 2;
         ClaimActions next;
-        if (const auto *transact = std::get_if<ClaimTransact>(&action)) {
+        if (const auto *transact = std::get_if<RunClaimTransaction>(&action)) {
             TransactionOutcome outcome {TransactionOutcome::Kind::NotCommitted, {}};
             if (!unreached)
                 outcome = m_tables.transact(transact->transaction);
