--- a/src/balsamloftd/controlactions.cpp
+++ b/src/balsamloftd/controlactions.cpp
@@ -158,7 +158,7 @@
                          });
 }
 
-void ControlPlane::operator()(ClaimRead &action)
+void ControlPlane::operator()(ReadClaimRow &action)
 {
     m_platform->read(std::string(ClaimTable), action.key,
                      [this, id = action.id](const ReadOutcome &outcome) {
--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -95,7 +95,7 @@
     void operator()(InstallConfig &action);
     void operator()(ProposalDecided &action);
     void operator()(RunClaimTransaction &action);
-    void operator()(ClaimRead &action);
+    void operator()(ReadClaimRow &action);
     void operator()(ClaimDecided &action);
     void operator()(SendToPeer &action);
     void operator()(SetEndpointLeaving &action);
--- a/src/fakes/routerharness.cpp
+++ b/src/fakes/routerharness.cpp
@@ -163,7 +163,7 @@
                 m_routers[router].claims.transactionDone(transact.id, outcome, m_now, next);
                 perform(router, next);
             });
-        } else if (auto *read = std::get_if<ClaimRead>(&action)) {
+        } else if (auto *read = std::get_if<ReadClaimRow>(&action)) {
             at(m_now + m_settings.tableLatency, [this, router, read = *read] {
                 ReadOutcome outcome;
                 if (!tablesDown)
--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -38,7 +38,7 @@
     std::uint64_t id = 0;
     Transaction transaction;
 };
-struct ClaimRead
+struct ReadClaimRow
 {
     std::uint64_t id = 0;
     std::string key;
@@ -48,7 +48,7 @@
     ClaimOwner owner;
     ClaimAnswer answer;
 };
-using ClaimAction = std::variant<RunClaimTransaction, ClaimRead, ClaimDecided>;
+using ClaimAction = std::variant<RunClaimTransaction, ReadClaimRow, ClaimDecided>;
 using ClaimActions = std::vector<ClaimAction>;
 
 /// Name of the table that holds the claims.
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -246,7 +246,7 @@
     claim.retryAt = Time {};
     const std::uint64_t id = m_nextId++;
     m_reads.emplace(id, claim.owner);
-    actions.push_back(ClaimRead {id, claim.rowKey});
+    actions.push_back(ReadClaimRow {id, claim.rowKey});
 }
 
 void ClaimManager::rowFound(Claim &claim, const TableRow &row, Time now, ClaimActions &actions)
--- a/src/libbalsamloft/claims_test.cpp
+++ b/src/libbalsamloft/claims_test.cpp
@@ -68,7 +68,7 @@
     b.transactionDone(claimB.id, tables.transact(claimB.transaction), at(5), actions);
     if (!won(actions)) { // the row is there, marked free: read, then claimed
         REQUIRE(actions.size() == 1);
-        const ClaimRead read = std::get<ClaimRead>(actions.front());
+        const ReadClaimRow read = std::get<ReadClaimRow>(actions.front());
         actions.clear();
         b.readDone(read.id, tables.read(std::string(ClaimTable), read.key), at(6), actions);
         claimB = onlyTransaction(actions);
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -76,7 +76,7 @@
             if (lost)
                 outcome = {};
             m_keepers[keeper].transactionDone(transact->id, outcome, m_now, next);
-        } else if (const auto *read = std::get_if<ClaimRead>(&action)) {
+        } else if (const auto *read = std::get_if<ReadClaimRow>(&action)) {
             ReadOutcome outcome;
             if (!unreached && !lost)
                 outcome = m_tables.read(std::string(ClaimTable), read->key);
