--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -19,7 +19,7 @@
     Duration patience {2'000'000}; ///< then the caller is told to come back
     Duration retryDelay {50'000};
     Duration longestRetryDelay {2'000'000};
-    std::size_t maxUnsettled = 20'000; ///< finished claims that wait for the service
+    std::size_t maxUnresolved = 20'000; ///< finished claims that wait for the service
     std::size_t maxKeptAnswerBytes = 256 * 1024; ///< a longer answer is not kept for repeats
 };
 
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -76,7 +76,7 @@
     if (end == ClaimEnd::Finished)
         settle.value = finishedValue(claim.nonce, claim.contentDigest, answer,
                                      answer.body.size() <= m_settings.maxKeptAnswerBytes);
-    if (m_settles.size() >= m_settings.maxUnsettled) {
+    if (m_settles.size() >= m_settings.maxUnresolved) {
         // Memory is bounded: the oldest row stays claimed, so a repeat of its
         // key is told "unknown" rather than run again.
         m_settles.pop_front();
--- a/src/libbalsamloft/claims_test.cpp
+++ b/src/libbalsamloft/claims_test.cpp
@@ -112,7 +112,7 @@
 {
     // Callers have their answers. The table is down for long; of the oldest
     // keys a repeat will be told "unknown", which is true, and nothing grows.
-    ClaimManager keeper({.instance = "a", .batchSize = 1, .maxUnsettled = 5});
+    ClaimManager keeper({.instance = "a", .batchSize = 1, .maxUnresolved = 5});
     TableModel tables;
     ClaimActions actions;
     for (RequestId request = 1; request <= 20; ++request) {
