--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -80,7 +80,7 @@
 
     std::optional<Time> nextWakeup() const;
     std::size_t pending() const { return m_claims.size(); }
-    std::size_t unsettled() const { return m_settles.size(); }
+    std::size_t unresolved() const { return m_settles.size(); }
     std::uint64_t transactions() const { return m_transactions; }
     std::uint64_t claimsWritten() const { return m_claimsWritten; }
     std::uint64_t settlesDropped() const { return m_settlesDropped; }
--- a/src/libbalsamloft/claims_test.cpp
+++ b/src/libbalsamloft/claims_test.cpp
@@ -131,6 +131,6 @@
                                    actions);
         }
     }
-    CHECK(keeper.unsettled() <= 6);
+    CHECK(keeper.unresolved() <= 6);
     CHECK(keeper.settlesDropped() >= 14);
 }
