--- a/src/balsamloftd/controlplane.cpp
+++ b/src/balsamloftd/controlplane.cpp
@@ -202,7 +202,7 @@
         {"balsamloft_claims_unsettled", m_claims.unresolved()},
         {"balsamloft_claims_written_total", m_claims.claimsWritten()},
         {"balsamloft_claim_transactions_total", m_claims.transactions()},
-        {"balsamloft_claim_settles_dropped_total", m_claims.settlesDropped()},
+        {"balsamloft_claim_settles_dropped_total", m_claims.resolutionsDropped()},
     };
     for (const auto &[name, value] : samples)
         renderSample(name, {}, static_cast<double>(value), text);
--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -83,7 +83,7 @@
     std::size_t unresolved() const { return m_settles.size(); }
     std::uint64_t transactions() const { return m_transactions; }
     std::uint64_t claimsWritten() const { return m_claimsWritten; }
-    std::uint64_t settlesDropped() const { return m_settlesDropped; }
+    std::uint64_t resolutionsDropped() const { return m_settlesDropped; }
 
 private:
     /// A claim from its request to its end.
--- a/src/libbalsamloft/claims_test.cpp
+++ b/src/libbalsamloft/claims_test.cpp
@@ -132,5 +132,5 @@
         }
     }
     CHECK(keeper.unresolved() <= 6);
-    CHECK(keeper.settlesDropped() >= 14);
+    CHECK(keeper.resolutionsDropped() >= 14);
 }
