--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -83,7 +83,7 @@
     std::size_t unresolved() const { return m_settles.size(); }
     std::uint64_t transactions() const { return m_transactions; }
     std::uint64_t claimsWritten() const { return m_claimsWritten; }
-    std::uint64_t resolutionsDropped() const { return m_settlesDropped; }
+    std::uint64_t resolutionsDropped() const { return m_resolutionsDropped; }
 
 private:
     /// A claim from its request to its end.
@@ -140,7 +140,7 @@
     std::uint64_t m_nextId = 1;
     std::uint64_t m_transactions = 0;
     std::uint64_t m_claimsWritten = 0;
-    std::uint64_t m_settlesDropped = 0;
+    std::uint64_t m_resolutionsDropped = 0;
 };
 
 } // namespace balsamloft
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -80,7 +80,7 @@
         // Memory is bounded: the oldest row stays claimed, so a repeat of its
         // key is told "unknown" rather than run again.
         m_settles.pop_front();
-        ++m_settlesDropped;
+        ++m_resolutionsDropped;
     }
     m_settles.push_back(std::move(settle));
     flush(now, actions);
