--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -18,7 +18,7 @@
     std::size_t batchSize = 64; ///< most rows written in one transaction
     Duration patience {2'000'000}; ///< then the caller is told to come back
     Duration retryDelay {50'000};
-    Duration longestRetryDelay {2'000'000};
+    Duration maxRetryDelay {2'000'000};
     std::size_t maxUnresolved = 20'000; ///< finished claims that wait for the service
     std::size_t maxKeptAnswerBytes = 256 * 1024; ///< a longer answer is not kept for repeats
 };
