--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -20,7 +20,7 @@
     Duration retryDelay {50'000};
     Duration maxRetryDelay {2'000'000};
     std::size_t maxUnresolved = 20'000; ///< finished claims that wait for the service
-    std::size_t maxKeptAnswerBytes = 256 * 1024; ///< a longer answer is not kept for repeats
+    std::size_t maxStoredAnswerBytes = 256 * 1024; ///< a longer answer is not kept for repeats
 };
 
 /// Identifies a request of one of the traffic threads.
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -75,7 +75,7 @@
     settle.value = json::serialize(json::object {{"state", FreeState}});
     if (end == ClaimEnd::Finished)
         settle.value = finishedValue(claim.nonce, claim.contentDigest, answer,
-                                     answer.body.size() <= m_settings.maxKeptAnswerBytes);
+                                     answer.body.size() <= m_settings.maxStoredAnswerBytes);
     if (m_settles.size() >= m_settings.maxUnresolved) {
         // Memory is bounded: the oldest row stays claimed, so a repeat of its
         // key is told "unknown" rather than run again.
