--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -16,7 +16,7 @@
 {
     std::string instance; ///< name of this instance and its incarnation
     std::size_t batchSize = 64; ///< most rows written in one transaction
-    Duration patience {2'000'000}; ///< then the caller is told to come back
+    Duration claimTimeout {2'000'000}; ///< then the caller is told to come back
     Duration retryDelay {50'000};
     Duration maxRetryDelay {2'000'000};
     std::size_t maxUnresolved = 20'000; ///< finished claims that wait for the service
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -54,7 +54,7 @@
     claim.nonce = m_settings.instance + "/" + std::to_string(owner.worker) + "/"
                   + std::to_string(owner.request);
     claim.contentDigest = start.contentDigest;
-    claim.deadline = std::min(start.deadline, now + m_settings.patience);
+    claim.deadline = std::min(start.deadline, now + m_settings.claimTimeout);
     m_queue.push_back(owner);
     flush(now, actions);
 }
