--- a/src/include/balsamloft/router.h
+++ b/src/include/balsamloft/router.h
@@ -25,7 +25,7 @@
     Duration prefillFloor {600'000}; ///< as stepFloor, for the first pass of an attempt
     Duration callFloor {2'000'000}; ///< as stepFloor, for a service call
     double silenceFactor = 6; ///< multiple of the expected step time
-    std::uint32_t patience = 4; ///< silent periods granted to what cannot be repeated
+    std::uint32_t maxSilentPeriods = 4; ///< silent periods granted to what cannot be repeated
     Duration retryBackoff {50'000};
     Duration endpointCheck {1'000'000}; ///< between looks at who is to be probed again
     Duration pumpInterval {20'000}; ///< queues are looked at this often at least
--- a/src/libbalsamloft/routerfailures.cpp
+++ b/src/libbalsamloft/routerfailures.cpp
@@ -143,7 +143,7 @@
     // from that: it waits for the probe's verdict and then some more, since
     // the endpoint may only be slow.
     ++flight.silentPeriods;
-    if (!flight.request.nonIdempotent || flight.silentPeriods > m_settings.patience)
+    if (!flight.request.nonIdempotent || flight.silentPeriods > m_settings.maxSilentPeriods)
         return attemptFailed(flight, FailureKind::Silent, now, actions);
     setTimer(flight, std::min(flight.request.deadline, now + silenceAfter(flight)));
 }
