--- a/src/balsamloftd/settings.cpp
+++ b/src/balsamloftd/settings.cpp
@@ -217,7 +217,7 @@
     settings.router.maxQueued = static_cast<std::size_t>(FLAGS_max_queued);
     settings.router.maxTokens = static_cast<std::uint32_t>(FLAGS_max_tokens);
     settings.router.maxAttempts = static_cast<std::uint32_t>(FLAGS_max_attempts);
-    settings.router.stepFloor = millis(FLAGS_step_floor_ms);
+    settings.router.minStepTimeout = millis(FLAGS_step_floor_ms);
     return settings;
 }
 
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -102,7 +102,7 @@
     const double expected = micros(
         state.stepTime > Duration::zero() ? state.stepTime : m_settings.routing.defaultStepTime);
     if (!flight.prefillPass)
-        return std::max(m_settings.stepFloor,
+        return std::max(m_settings.minStepTimeout,
                         Duration(static_cast<std::int64_t>(m_settings.silenceFactor * expected)));
     const auto inputTokens =
         static_cast<double>(promptTokens(flight.request) + flight.tokens.size());
