--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -107,7 +107,7 @@
     const auto inputTokens =
         static_cast<double>(promptTokens(flight.request) + flight.tokens.size());
     const double prefill = inputTokens * micros(m_settings.routing.prefillPerToken) / state.speed;
-    return std::max(m_settings.prefillFloor, Duration(static_cast<std::int64_t>(
+    return std::max(m_settings.minPrefillTimeout, Duration(static_cast<std::int64_t>(
                                                  m_settings.silenceFactor * (expected + prefill))));
 }
 
