--- a/src/include/balsamloft/router.h
+++ b/src/include/balsamloft/router.h
@@ -23,7 +23,7 @@
     std::uint32_t maxAttempts = 6;
     Duration minStepTimeout {400'000}; ///< least time before a step counts as silent
     Duration minPrefillTimeout {600'000}; ///< as minStepTimeout, for the first pass of an attempt
-    Duration callFloor {2'000'000}; ///< as minStepTimeout, for a service call
+    Duration serviceCallTimeout {2'000'000}; ///< as minStepTimeout, for a service call
     double silenceFactor = 6; ///< multiple of the expected step time
     std::uint32_t maxSilentPeriods = 4; ///< silent periods granted to what cannot be repeated
     Duration retryBackoff {50'000};
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -97,7 +97,7 @@
 Duration Router::Impl::silenceAfter(const Flight &flight) const
 {
     if (flight.request.kind == TargetKind::Service)
-        return m_settings.callFloor;
+        return m_settings.serviceCallTimeout;
     const EndpointState &state = m_loads.state(flight.chain[flight.stage].endpoint);
     const double expected = micros(
         state.stepTime > Duration::zero() ? state.stepTime : m_settings.routing.defaultStepTime);
