--- a/src/include/balsamloft/router.h
+++ b/src/include/balsamloft/router.h
@@ -24,7 +24,7 @@
     Duration minStepTimeout {400'000}; ///< least time before a step counts as silent
     Duration minPrefillTimeout {600'000}; ///< as minStepTimeout, for the first pass of an attempt
     Duration serviceCallTimeout {2'000'000}; ///< as minStepTimeout, for a service call
-    double silenceFactor = 6; ///< multiple of the expected step time
+    double stepTimeoutFactor = 6; ///< multiple of the expected step time
     std::uint32_t maxSilentPeriods = 4; ///< silent periods granted to what cannot be repeated
     Duration retryBackoff {50'000};
     Duration endpointCheck {1'000'000}; ///< between looks at who is to be probed again
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -103,12 +103,12 @@
         state.stepTime > Duration::zero() ? state.stepTime : m_settings.routing.defaultStepTime);
     if (!flight.prefillPass)
         return std::max(m_settings.minStepTimeout,
-                        Duration(static_cast<std::int64_t>(m_settings.silenceFactor * expected)));
+                        Duration(static_cast<std::int64_t>(m_settings.stepTimeoutFactor * expected)));
     const auto inputTokens =
         static_cast<double>(promptTokens(flight.request) + flight.tokens.size());
     const double prefill = inputTokens * micros(m_settings.routing.prefillPerToken) / state.speed;
     return std::max(m_settings.minPrefillTimeout, Duration(static_cast<std::int64_t>(
-                                                 m_settings.silenceFactor * (expected + prefill))));
+                                                 m_settings.stepTimeoutFactor * (expected + prefill))));
 }
 
 void Router::Impl::sendStep(Flight &flight, std::string input, Time now, Actions &actions)
