--- a/src/include/balsamloft/router.h
+++ b/src/include/balsamloft/router.h
@@ -27,7 +27,7 @@
     double stepTimeoutFactor = 6; ///< multiple of the expected step time
     std::uint32_t maxSilentPeriods = 4; ///< silent periods granted to what cannot be repeated
     Duration retryBackoff {50'000};
-    Duration endpointCheck {1'000'000}; ///< between looks at who is to be probed again
+    Duration endpointCheckInterval {1'000'000}; ///< between looks at who is to be probed again
     Duration pumpInterval {20'000}; ///< queues are looked at this often at least
     LoadSettings load;
     RoutingSettings routing;
--- a/src/libbalsamloft/routeradmission.cpp
+++ b/src/libbalsamloft/routeradmission.cpp
@@ -58,7 +58,7 @@
     m_chooser.setConfig(*m_config, m_loads);
     rebuildTargets(now, actions);
     if (m_endpointCheckAt == Time {})
-        m_endpointCheckAt = now + m_settings.endpointCheck;
+        m_endpointCheckAt = now + m_settings.endpointCheckInterval;
     pumpAll(now, actions);
 }
 
--- a/src/libbalsamloft/routerfailures.cpp
+++ b/src/libbalsamloft/routerfailures.cpp
@@ -159,7 +159,7 @@
 
 void Router::Impl::checkEndpoints(Time now, Actions &actions)
 {
-    m_endpointCheckAt = now + m_settings.endpointCheck;
+    m_endpointCheckAt = now + m_settings.endpointCheckInterval;
     for (EndpointId id = 0; id < m_loads.size(); ++id) {
         const EndpointState &state = m_loads.state(id);
         // One that said that it is leaving may have been replaced by a new
