--- a/src/include/balsamloft/router.h
+++ b/src/include/balsamloft/router.h
@@ -28,7 +28,7 @@
     std::uint32_t maxSilentPeriods = 4; ///< silent periods granted to what cannot be repeated
     Duration retryBackoff {50'000};
     Duration endpointCheckInterval {1'000'000}; ///< between looks at who is to be probed again
-    Duration pumpInterval {20'000}; ///< queues are looked at this often at least
+    Duration dispatchInterval {20'000}; ///< queues are looked at this often at least
     LoadSettings load;
     RoutingSettings routing;
     RetryBudgetSettings retry;
--- a/src/libbalsamloft/routeradmission.cpp
+++ b/src/libbalsamloft/routeradmission.cpp
@@ -249,7 +249,7 @@
     const Duration service =
         flight.tokens.empty() ? expectedService(target, flight.request) : Duration::zero();
     setTimer(flight, std::max(now, flight.request.deadline - service));
-    m_pumpAt = m_pumpAt == Time {} ? now + m_settings.pumpInterval : m_pumpAt;
+    m_pumpAt = m_pumpAt == Time {} ? now + m_settings.dispatchInterval : m_pumpAt;
 }
 
 RouteQuery Router::Impl::routeQuery(const Target &target, const Flight &flight, Time now) const
@@ -307,7 +307,7 @@
         pump(target, now, actions);
         waiting = waiting || !target.queue.empty();
     }
-    m_pumpAt = waiting ? now + m_settings.pumpInterval : Time {};
+    m_pumpAt = waiting ? now + m_settings.dispatchInterval : Time {};
 }
 
 void Router::Impl::claimAnswered(RequestId id, const ClaimAnswer &answer, Time now,
