--- a/src/balsamloftd/metrics.cpp
+++ b/src/balsamloftd/metrics.cpp
@@ -23,7 +23,7 @@
         {"balsamloft_submitted_total", counters.submitted},
         {"balsamloft_dispatched_total", counters.dispatched},
         {"balsamloft_retries_total", counters.retries},
-        {"balsamloft_bounces_total", counters.bounces},
+        {"balsamloft_bounces_total", counters.unexecutedAttempts},
         {"balsamloft_ejections_total", counters.ejections},
         {"balsamloft_late_answers_total", counters.lateAnswers},
         {"balsamloft_crossed_answers_total", counters.crossedAnswers},
--- a/src/bench/scenarios.cpp
+++ b/src/bench/scenarios.cpp
@@ -143,7 +143,7 @@
     figures.usefulFraction = usefulTokens(harness, start + WarmUp, end, Priority::Normal)
                              / (capacity(engines) * window.count());
     std::vector<double> times;
-    std::uint64_t bounces = 0;
+    std::uint64_t unexecutedAttempts = 0;
     for (const auto &[id, record] : harness.records()) {
         if (record.answer)
             times.push_back(
@@ -151,13 +151,13 @@
     }
     for (std::size_t i = 0; i < scenario.routers; ++i) {
         const RouterCounters &counters = harness.router(i).counters();
-        bounces += counters.bounces;
+        unexecutedAttempts += counters.unexecutedAttempts;
         figures.refusedNotRun += counters.refusedNotRun;
         figures.refusedUnknown += counters.refusedUnknown;
     }
     const auto offered = static_cast<double>(harness.records().size());
     figures.ofOffered = static_cast<double>(times.size()) / offered;
-    figures.bouncesPerRequest = static_cast<double>(bounces) / offered;
+    figures.bouncesPerRequest = static_cast<double>(unexecutedAttempts) / offered;
     figures.medianSeconds = percentile(times, 0.5);
     figures.p95Seconds = percentile(times, 0.95);
     return figures;
--- a/src/include/balsamloft/router.h
+++ b/src/include/balsamloft/router.h
@@ -43,7 +43,7 @@
     std::uint64_t refusedNotRun = 0;
     std::uint64_t refusedUnknown = 0;
     std::uint64_t retries = 0;
-    std::uint64_t bounces = 0; ///< endpoints that proved not to have run it
+    std::uint64_t unexecutedAttempts = 0; ///< endpoints that proved not to have run it
     std::uint64_t ejections = 0;
     std::uint64_t lateAnswers = 0; ///< dropped: of an attempt given up before
     std::uint64_t crossedAnswers = 0; ///< dropped: of another step than awaited
--- a/src/libbalsamloft/routerfailures.cpp
+++ b/src/libbalsamloft/routerfailures.cpp
@@ -80,7 +80,7 @@
 
 void Router::Impl::sendElsewhere(Flight &flight, FailureKind kind, Time now, Actions &actions)
 {
-    ++m_counters.bounces;
+    ++m_counters.unexecutedAttempts;
     if (kind == FailureKind::NotSent && ++flight.unsent > 1) {
         // No endpoint accepts connections, or the one left does not: trying
         // again at once would be a loop without a pause, up to the deadline.
