--- a/src/bench/policy_bench.cpp
+++ b/src/bench/policy_bench.cpp
@@ -37,7 +37,7 @@
     state.counters["of_offered"] = figures.ofOffered;
     state.counters["median_s"] = figures.medianSeconds;
     state.counters["p95_s"] = figures.p95Seconds;
-    state.counters["bounces"] = figures.bouncesPerRequest;
+    state.counters["bounces"] = figures.unexecutedPerRequest;
     state.counters["unknown"] = static_cast<double>(figures.refusedUnknown);
 }
 
--- a/src/bench/policy_test.cpp
+++ b/src/bench/policy_test.cpp
@@ -14,7 +14,7 @@
         const LoadFigures figures = runLoad({.load = load});
         INFO("load " << load);
         CHECK(figures.usefulFraction > 0.95);
-        CHECK(figures.bouncesPerRequest < 2.5);
+        CHECK(figures.unexecutedPerRequest < 2.5);
     }
 }
 
--- a/src/bench/scenarios.cpp
+++ b/src/bench/scenarios.cpp
@@ -157,7 +157,7 @@
     }
     const auto offered = static_cast<double>(harness.records().size());
     figures.ofOffered = static_cast<double>(times.size()) / offered;
-    figures.bouncesPerRequest = static_cast<double>(unexecutedAttempts) / offered;
+    figures.unexecutedPerRequest = static_cast<double>(unexecutedAttempts) / offered;
     figures.medianSeconds = percentile(times, 0.5);
     figures.p95Seconds = percentile(times, 0.95);
     return figures;
--- a/src/bench/scenarios.h
+++ b/src/bench/scenarios.h
@@ -30,7 +30,7 @@
     double ofOffered = 0; ///< requests answered whole, of those offered
     double medianSeconds = 0; ///< time in the system of those answered
     double p95Seconds = 0;
-    double bouncesPerRequest = 0;
+    double unexecutedPerRequest = 0;
     std::uint64_t refusedNotRun = 0;
     std::uint64_t refusedUnknown = 0;
 };
