--- a/src/balsamloftd/metrics.cpp
+++ b/src/balsamloftd/metrics.cpp
@@ -26,7 +26,7 @@
         {"balsamloft_bounces_total", counters.unexecutedAttempts},
         {"balsamloft_ejections_total", counters.ejections},
         {"balsamloft_late_answers_total", counters.lateAnswers},
-        {"balsamloft_crossed_answers_total", counters.crossedAnswers},
+        {"balsamloft_crossed_answers_total", counters.mismatchedAnswers},
         {"balsamloft_tokens_total", counters.tokens},
         {"balsamloft_in_flight", router.inFlight()},
         {"balsamloft_queued", router.queued()},
--- a/src/include/balsamloft/router.h
+++ b/src/include/balsamloft/router.h
@@ -46,7 +46,7 @@
     std::uint64_t unexecutedAttempts = 0; ///< endpoints that proved not to have run it
     std::uint64_t ejections = 0;
     std::uint64_t lateAnswers = 0; ///< dropped: of an attempt given up before
-    std::uint64_t crossedAnswers = 0; ///< dropped: of another step than awaited
+    std::uint64_t mismatchedAnswers = 0; ///< dropped: of another step than awaited
     std::uint64_t tokens = 0;
 };
 
--- a/src/libbalsamloft/router_test.cpp
+++ b/src/libbalsamloft/router_test.cpp
@@ -170,7 +170,7 @@
         REQUIRE(record.answer);
         CHECK(record.answer->body == expected(record));
     }
-    CHECK(harness.router(0).counters().crossedAnswers == 4);
+    CHECK(harness.router(0).counters().mismatchedAnswers == 4);
 }
 
 TEST_CASE("a request marked non-idempotent is never sent again", "[router][failure]")
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -148,7 +148,7 @@
     // A connection that has lost step hands over some other request's answer.
     // The echo shows it; whose it is does not matter, it is not used for any.
     if (answer.ref != awaited) {
-        ++m_counters.crossedAnswers;
+        ++m_counters.mismatchedAnswers;
         return stepFailed(awaited, FailureKind::Broken, std::nullopt, now, actions);
     }
     const Stage &stage = flight->chain[flight->stage];
