--- a/src/bench/policy_bench.cpp
+++ b/src/bench/policy_bench.cpp
@@ -38,7 +38,7 @@
     state.counters["median_s"] = figures.medianSeconds;
     state.counters["p95_s"] = figures.p95Seconds;
     state.counters["bounces"] = figures.unexecutedPerRequest;
-    state.counters["unknown"] = static_cast<double>(figures.refusedUnknown);
+    state.counters["unknown"] = static_cast<double>(figures.refusedOutcomeUnknown);
 }
 
 void alerts(benchmark::State &state)
--- a/src/bench/policy_test.cpp
+++ b/src/bench/policy_test.cpp
@@ -31,7 +31,7 @@
 TEST_CASE("at three times the load almost nothing is begun in vain", "[policy]")
 {
     const LoadFigures figures = runLoad({.load = 3});
-    CHECK(static_cast<double>(figures.refusedUnknown)
+    CHECK(static_cast<double>(figures.refusedOutcomeUnknown)
           < 0.005 * static_cast<double>(figures.refusedNotRun));
 }
 
--- a/src/bench/scenarios.cpp
+++ b/src/bench/scenarios.cpp
@@ -153,7 +153,7 @@
         const RouterCounters &counters = harness.router(i).counters();
         unexecutedAttempts += counters.unexecutedAttempts;
         figures.refusedNotRun += counters.refusedNotRun;
-        figures.refusedUnknown += counters.refusedUnknown;
+        figures.refusedOutcomeUnknown += counters.refusedOutcomeUnknown;
     }
     const auto offered = static_cast<double>(harness.records().size());
     figures.ofOffered = static_cast<double>(times.size()) / offered;
--- a/src/bench/scenarios.h
+++ b/src/bench/scenarios.h
@@ -32,7 +32,7 @@
     double p95Seconds = 0;
     double unexecutedPerRequest = 0;
     std::uint64_t refusedNotRun = 0;
-    std::uint64_t refusedUnknown = 0;
+    std::uint64_t refusedOutcomeUnknown = 0;
 };
 
 LoadFigures runLoad(const LoadScenario &scenario);
