--- a/src/include/balsamloft/routing.h
+++ b/src/include/balsamloft/routing.h
@@ -37,7 +37,7 @@
 {
     RoutingPolicy policy = RoutingPolicy::Default;
     double affinityFullness = 0.95; ///< of its slots, up to which an owner is preferred
-    double affinityTolerance = 3; ///< how much dearer an owner that always hits may seem
+    double affinityCostTolerance = 3; ///< how much dearer an owner that always hits may seem
     Duration defaultStepTime {30'000}; ///< of an endpoint that has not reported yet
     Duration prefillPerToken {200}; ///< of an endpoint of speed 1, over all layers
     std::uint32_t alertOvercommit = 2; ///< alerts sent to a full endpoint, which puts them first
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -393,7 +393,7 @@
     if (owner.endpoint == NoEndpoint)
         return drawn;
     const double tolerance =
-        1 + m_settings.affinityTolerance * decision.loads.state(owner.endpoint).prefixHitRate;
+        1 + m_settings.affinityCostTolerance * decision.loads.state(owner.endpoint).prefixHitRate;
     // The owner's cost counts the cache hits it has really had, so affinity
     // gives way by itself where caches are too small or events were lost. A
     // pick that costs no more than an ordinary one also keeps caches warm.
