--- a/src/include/balsamloft/routing.h
+++ b/src/include/balsamloft/routing.h
@@ -36,7 +36,7 @@
 struct RoutingSettings
 {
     RoutingPolicy policy = RoutingPolicy::Default;
-    double affinityFullness = 0.95; ///< of its slots, up to which an owner is preferred
+    double affinityMaxUtilization = 0.95; ///< of its slots, up to which an owner is preferred
     double affinityCostTolerance = 3; ///< how much dearer an owner that always hits may seem
     Duration defaultStepTime {30'000}; ///< of an endpoint that has not reported yet
     Duration prefillPerToken {200}; ///< of an endpoint of speed 1, over all layers
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -352,7 +352,7 @@
             continue;
         const Pick pick {id, cost(decision, id, true), true};
         const bool inBound = decision.loads.expectedLoad(id, decision.now)
-                             <= m_settings.affinityFullness * decision.loads.state(id).slots;
+                             <= m_settings.affinityMaxUtilization * decision.loads.state(id).slots;
         if (best.endpoint == NoEndpoint
             || std::pair(!inBound, pick.cost) < std::pair(!bestInBound, best.cost)) {
             best = pick;
