--- a/src/bench/decision.cpp
+++ b/src/bench/decision.cpp
@@ -23,7 +23,7 @@
 {
     m_loads.setConfig(*m_config);
     m_chooser.setConfig(*m_config, m_loads);
-    m_table = RouteTable::forModel(*m_config, *m_config->model("model"), m_loads, "d");
+    m_table = CandidateTable::forModel(*m_config, *m_config->model("model"), m_loads, "d");
     for (EndpointId id = 0; id < m_loads.size(); ++id)
         m_loads.reported(id, {id % 60, 0, Duration(20'000), false}, m_now);
 }
--- a/src/bench/decision.h
+++ b/src/bench/decision.h
@@ -21,7 +21,7 @@
     ConfigPtr m_config;
     LoadView m_loads;
     ChainChooser m_chooser;
-    RouteTable m_table;
+    CandidateTable m_table;
     Chain m_chain;
     Time m_now {std::chrono::seconds(10)};
     std::uint64_t m_count = 0;
--- a/src/include/balsamloft/routing.h
+++ b/src/include/balsamloft/routing.h
@@ -56,7 +56,7 @@
 
 /// The endpoints that can execute one model or service, grouped by layer range
 /// and version, with what fast picking needs worked out beforehand.
-class RouteTable
+class CandidateTable
 {
 public:
     /// Endpoints that hold the same layers of the same version.
@@ -78,11 +78,11 @@
     };
 
     /// Builds the table of \a model as seen from an instance in \a domain.
-    static RouteTable forModel(const Config &config, const Model &model, const LoadView &loads,
+    static CandidateTable forModel(const Config &config, const Model &model, const LoadView &loads,
                                std::string_view domain);
 
     /// As forModel(), for the endpoints of a plain service.
-    static RouteTable forService(const Config &config, const Service &service,
+    static CandidateTable forService(const Config &config, const Service &service,
                                  const LoadView &loads, std::string_view domain);
 
     /// The wanted version first.
@@ -105,7 +105,7 @@
 
     /// Fills \a chain with stages that cover all layers once, of one version,
     /// each with room for one more request. Returns false when there is none.
-    bool choose(const RouteTable &table, const LoadView &loads, const RouteQuery &query, Time now,
+    bool choose(const CandidateTable &table, const LoadView &loads, const RouteQuery &query, Time now,
                 Chain &chain);
 
     /// Forgets latencies worked out from an earlier configuration.
@@ -122,7 +122,7 @@
     };
     struct Decision
     {
-        const RouteTable::Group &group;
+        const CandidateTable::Group &group;
         const LoadView &loads;
         const RouteQuery &query;
         Time now;
@@ -130,9 +130,9 @@
     };
     using PickFunction = Pick (ChainChooser::*)(const Decision &);
 
-    bool chooseVersion(const RouteTable::VersionGroups &version, const LoadView &loads,
+    bool chooseVersion(const CandidateTable::VersionGroups &version, const LoadView &loads,
                        const RouteQuery &query, Time now, Chain &chain);
-    bool traceBack(const RouteTable::VersionGroups &version, Chain &chain) const;
+    bool traceBack(const CandidateTable::VersionGroups &version, Chain &chain) const;
 
     Pick pickDefault(const Decision &decision);
     Pick pickRandom(const Decision &decision);
@@ -142,7 +142,7 @@
     Pick pickKept(const Decision &decision) const;
     Pick pickByRing(const Decision &decision);
     std::size_t ownersOf(std::uint64_t prefixHash, std::size_t members);
-    EndpointId drawByWeight(const RouteTable::Group &group);
+    EndpointId drawByWeight(const CandidateTable::Group &group);
     Pick scan(const Decision &decision);
 
     bool hasFreeSlot(const Decision &decision, EndpointId id) const;
--- a/src/libbalsamloft/routeradmission.cpp
+++ b/src/libbalsamloft/routeradmission.cpp
@@ -65,13 +65,13 @@
 void Router::Impl::rebuildTargets(Time now, Actions &actions)
 {
     for (auto &[key, target] : m_targets)
-        target.table = RouteTable {};
+        target.table = CandidateTable {};
     for (const Model &model : m_config->models())
         m_targets[targetKey(TargetKind::Model, model.name)].table =
-            RouteTable::forModel(*m_config, model, m_loads, m_settings.domain);
+            CandidateTable::forModel(*m_config, model, m_loads, m_settings.domain);
     for (const Service &service : m_config->services())
         m_targets[targetKey(TargetKind::Service, service.name)].table =
-            RouteTable::forService(*m_config, service, m_loads, m_settings.domain);
+            CandidateTable::forService(*m_config, service, m_loads, m_settings.domain);
 
     std::vector<RequestId> orphans;
     for (const auto &[id, flight] : m_flights) {
--- a/src/libbalsamloft/routerimpl.h
+++ b/src/libbalsamloft/routerimpl.h
@@ -59,7 +59,7 @@
 struct Target
 {
     FairQueue queue;
-    RouteTable table;
+    CandidateTable table;
     double finishedCost = 0; ///< decayed, to estimate the drain rate
     Time finishedAt {};
     Time firstFinishAt {};
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -40,7 +40,7 @@
 /// Sets the endpoints aside that only alerts may use. Every instance picks the
 /// same ones without a message. Slots kept free at each endpoint would depend
 /// on reports that lag: several instances fill the same free slot at once.
-void keepForAlerts(RouteTable::Group &group, const LoadView &loads, std::uint32_t count)
+void keepForAlerts(CandidateTable::Group &group, const LoadView &loads, std::uint32_t count)
 {
     if (group.members.size() < 2)
         return;
@@ -53,7 +53,7 @@
     group.forAlerts = std::move(order);
 }
 
-void buildRing(RouteTable::Group &group, const LoadView &loads)
+void buildRing(CandidateTable::Group &group, const LoadView &loads)
 {
     const double total = group.cumulativeWeight.back();
     const double mean = total / static_cast<double>(group.members.size());
@@ -72,7 +72,7 @@
 
 } // namespace
 
-void RouteTable::add(const Endpoint &endpoint, const LoadView &loads, const LayerRange &layers,
+void CandidateTable::add(const Endpoint &endpoint, const LoadView &loads, const LayerRange &layers,
                      std::uint32_t modelLayers)
 {
     auto version = std::find_if(m_versions.begin(), m_versions.end(), [&](const auto &candidate) {
@@ -87,7 +87,7 @@
     group->members.push_back(loads.find(endpoint.name));
 }
 
-void RouteTable::finish(const Config &config, const LoadView &loads, std::string_view domain,
+void CandidateTable::finish(const Config &config, const LoadView &loads, std::string_view domain,
                         std::string_view wantedVersion, std::uint32_t alertEndpoints)
 {
     for (VersionGroups &version : m_versions) {
@@ -111,10 +111,10 @@
     });
 }
 
-RouteTable RouteTable::forModel(const Config &config, const Model &model, const LoadView &loads,
+CandidateTable CandidateTable::forModel(const Config &config, const Model &model, const LoadView &loads,
                                 std::string_view domain)
 {
-    RouteTable table;
+    CandidateTable table;
     for (const Endpoint &endpoint : config.endpoints()) {
         if (endpoint.kind == EndpointKind::Engine && endpoint.model == model.name)
             table.add(endpoint, loads, endpoint.layers, model.layers);
@@ -123,10 +123,10 @@
     return table;
 }
 
-RouteTable RouteTable::forService(const Config &config, const Service &service,
+CandidateTable CandidateTable::forService(const Config &config, const Service &service,
                                   const LoadView &loads, std::string_view domain)
 {
-    RouteTable table;
+    CandidateTable table;
     for (const Endpoint &endpoint : config.endpoints()) {
         if (endpoint.kind == EndpointKind::Service && endpoint.service == service.name)
             table.add(endpoint, loads, {0, 1}, 1);
@@ -149,10 +149,10 @@
         m_latency[loads.find(endpoint.name)] = config.latency(m_domain, endpoint.domain);
 }
 
-bool ChainChooser::choose(const RouteTable &table, const LoadView &loads, const RouteQuery &query,
+bool ChainChooser::choose(const CandidateTable &table, const LoadView &loads, const RouteQuery &query,
                           Time now, Chain &chain)
 {
-    for (const RouteTable::VersionGroups &version : table.versions()) {
+    for (const CandidateTable::VersionGroups &version : table.versions()) {
         if (chooseVersion(version, loads, query, now, chain))
             return true;
     }
@@ -163,7 +163,7 @@
     return choose(table, loads, anyEndpoint, now, chain);
 }
 
-bool ChainChooser::chooseVersion(const RouteTable::VersionGroups &version, const LoadView &loads,
+bool ChainChooser::chooseVersion(const CandidateTable::VersionGroups &version, const LoadView &loads,
                                  const RouteQuery &query, Time now, Chain &chain)
 {
     static constexpr PickFunction Pickers[] = {
@@ -178,7 +178,7 @@
     m_bestPick.resize(version.layers + 1);
     m_bestCost[0] = 0;
     for (std::size_t i = 0; i < version.groups.size(); ++i) {
-        const RouteTable::Group &group = version.groups[i];
+        const CandidateTable::Group &group = version.groups[i];
         if (m_bestCost[group.layers.begin] == Unreached)
             continue;
         const Pick picked = (this->*pick)(Decision {group, loads, query, now});
@@ -193,7 +193,7 @@
     return m_bestCost[version.layers] != Unreached && traceBack(version, chain);
 }
 
-bool ChainChooser::traceBack(const RouteTable::VersionGroups &version, Chain &chain) const
+bool ChainChooser::traceBack(const CandidateTable::VersionGroups &version, Chain &chain) const
 {
     chain.clear();
     std::uint32_t boundary = version.layers;
@@ -251,7 +251,7 @@
     return compute + wait + static_cast<double>(way.count());
 }
 
-EndpointId ChainChooser::drawByWeight(const RouteTable::Group &group)
+EndpointId ChainChooser::drawByWeight(const CandidateTable::Group &group)
 {
     std::uniform_real_distribution<double> distribution(0, group.cumulativeWeight.back());
     const auto it = std::upper_bound(group.cumulativeWeight.begin(), group.cumulativeWeight.end(),
--- a/src/libbalsamloft/routing_test.cpp
+++ b/src/libbalsamloft/routing_test.cpp
@@ -47,7 +47,7 @@
         REQUIRE(config);
         loads.setConfig(*config);
         chooser.setConfig(*config, loads);
-        table = RouteTable::forModel(*config, *config->model("m"), loads, "near");
+        table = CandidateTable::forModel(*config, *config->model("m"), loads, "near");
     }
 
     std::string choose(RouteQuery query = {})
@@ -72,7 +72,7 @@
     ConfigPtr config;
     LoadView loads;
     ChainChooser chooser;
-    RouteTable table;
+    CandidateTable table;
 };
 
 } // namespace
