--- a/src/include/balsamloft/routing.h
+++ b/src/include/balsamloft/routing.h
@@ -66,7 +66,7 @@
         std::vector<EndpointId> members;
         std::vector<double> cumulativeWeight; ///< of members, for draws by weight
         std::vector<std::pair<std::uint64_t, std::uint32_t>> ring; ///< hash to member
-        std::vector<EndpointId> forAlerts; ///< members that only alerts may use
+        std::vector<EndpointId> reservedForAlerts; ///< members that only alerts may use
     };
 
     /// The groups that hold one version.
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -50,7 +50,7 @@
                < ringPoint(loads.state(b).name, AlertSeed);
     });
     order.resize(std::min<std::size_t>(count, order.size() - 1));
-    group.forAlerts = std::move(order);
+    group.reservedForAlerts = std::move(order);
 }
 
 void buildRing(CandidateTable::Group &group, const LoadView &loads)
@@ -226,8 +226,8 @@
 {
     const bool kept =
         decision.query.priority != Priority::Alert
-        && std::find(decision.group.forAlerts.begin(), decision.group.forAlerts.end(), id)
-               != decision.group.forAlerts.end();
+        && std::find(decision.group.reservedForAlerts.begin(), decision.group.reservedForAlerts.end(), id)
+               != decision.group.reservedForAlerts.end();
     return !kept && id != decision.query.avoid && decision.loads.usable(id) && hasFreeSlot(decision, id)
            && inTime(decision, id);
 }
@@ -365,7 +365,7 @@
 ChainChooser::Pick ChainChooser::pickKept(const Decision &decision) const
 {
     Pick best;
-    for (const EndpointId id : decision.group.forAlerts) {
+    for (const EndpointId id : decision.group.reservedForAlerts) {
         // Without overcommitment: a full one is no better than any other.
         if (!decision.loads.usable(id) || id == decision.query.avoid
             || !decision.loads.hasFreeSlot(id, 0, decision.now))
