--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -55,7 +55,7 @@
 
     /// Layers that \a kind can hold when it keeps the share \a room of its memory
     /// for requests; at most all.
-    std::uint32_t mostLayers(const AcceleratorKind &kind, double room) const;
+    std::uint32_t maxLayers(const AcceleratorKind &kind, double room) const;
 
     /// Time that \a kind needs to read \a tokens through \a held layers.
     double readMs(const AcceleratorKind &kind, double tokens, double held) const
--- a/src/libbalsamloft/gapfiller.cpp
+++ b/src/libbalsamloft/gapfiller.cpp
@@ -41,8 +41,8 @@
         const double room =
             each.layers.length() > 0 ? m_settings.minEngineHeadroom : m_settings.emptyEngineHeadroom;
         const auto [layers, free] = m_orders.holding(each);
-        found.push_back({&each, layers, service.model->mostLayers(*kind, room), free,
-                         service.model->mostLayers(*kind, m_settings.beyondGapHeadroom)});
+        found.push_back({&each, layers, service.model->maxLayers(*kind, room), free,
+                         service.model->maxLayers(*kind, m_settings.beyondGapHeadroom)});
     }
     return found;
 }
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -45,7 +45,7 @@
 
 std::uint32_t LayerPlanner::Engine::most(const LayeredModel &model, double room) const
 {
-    return model.mostLayers(*kind, room);
+    return model.maxLayers(*kind, room);
 }
 
 std::vector<LayerPlanner::Engine> LayerPlanner::engines(const FleetSnapshot &fleet,
--- a/src/libbalsamloft/routemap.cpp
+++ b/src/libbalsamloft/routemap.cpp
@@ -22,7 +22,7 @@
     return perTokenLayer <= 0 ? 0 : std::max(0.0, left * 1e6 / perTokenLayer);
 }
 
-std::uint32_t LayeredModel::mostLayers(const AcceleratorKind &kind, double room) const
+std::uint32_t LayeredModel::maxLayers(const AcceleratorKind &kind, double room) const
 {
     const double fits = kind.sizeMegabytes * (1 - room) / std::max(1.0, layerMegabytes);
     return static_cast<std::uint32_t>(std::min<double>(layers, std::floor(fits)));
