--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -327,7 +327,7 @@
         Run moved = *found;
         moved.path = change.path;
         moved.engines.clear();
-        double readMs = 0;
+        double prefillMs = 0;
         for (std::size_t i = 0; i < change.path.size(); ++i) {
             const std::size_t index = m_byId[change.path[i].endpoint];
             moved.engines.push_back(index);
@@ -338,7 +338,7 @@
             const LayerRange wanted = change.path[i].layers;
             if (!holdsPart(moved, i) || !hasRoom(moved, i))
                 return answer(false);
-            readMs += moved.context / m_service.model->readTokensPerMs * engine.kind->readFactor
+            prefillMs += moved.context / m_service.model->readTokensPerMs * engine.kind->readFactor
                       * (wanted.end - wanted.begin) / m_service.model->layers;
         }
         leave(*found);
@@ -348,7 +348,7 @@
         moved.stalledSince.reset();
         *found = std::move(moved);
         enter(id);
-        at(milliseconds(readMs), [this, id] { wait(id); });
+        at(milliseconds(prefillMs), [this, id] { wait(id); });
         answer(true);
     }
 
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -58,7 +58,7 @@
     std::uint32_t maxLayers(const AcceleratorKind &kind, double room) const;
 
     /// Time that \a kind needs to read \a tokens through \a held layers.
-    double readMs(const AcceleratorKind &kind, double tokens, double held) const
+    double prefillMs(const AcceleratorKind &kind, double tokens, double held) const
     {
         return readTokensPerMs > 0 && layers > 0
                    ? tokens / readTokensPerMs * kind.readFactor * held / layers
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -15,7 +15,7 @@
 struct Candidate
 {
     const FleetEndpoint *endpoint = nullptr;
-    double readMs = 0; ///< to read the prompt, for each layer
+    double prefillMs = 0; ///< to read the prompt, for each layer
     double passMs = 0; ///< a pass (one event), for each layer
     double factor = 1; ///< dearer when nearly full
     double fullness = 0;
@@ -207,7 +207,7 @@
     double partCost(double layers, const Candidate &candidate) const
     {
         const double wholeMs =
-            m_model.layers * (2 * candidate.readMs + m_passes * candidate.passMs);
+            m_model.layers * (2 * candidate.prefillMs + m_passes * candidate.passMs);
         return layers / m_model.layers * std::sqrt(wholeMs * m_referenceMs);
     }
 
@@ -273,7 +273,7 @@
         candidate.fullness = (load.used + growth + need) / room;
         candidate.full =
             candidate.fullness > (load.reported ? settings.maxReportedFullness : settings.maxEstimatedFullness);
-        candidate.readMs = model.readMs(*kind, query.promptTokens, 1);
+        candidate.prefillMs = model.prefillMs(*kind, query.promptTokens, 1);
         candidate.passMs = model.stride * step * pace / model.layers;
         candidate.factor = 1 + settings.fullnessWeight * std::pow(std::min(candidate.fullness, 3.0), 4)
                            + 2 * book.failureShare(each.id, now);
@@ -359,7 +359,7 @@
         path.parts.push_back({each.endpoint->id, each.endpoint->address, layers});
         const double count = layers.length();
         path.eventIntervalMs += count * each.passMs + m_settings.hopMs;
-        path.firstEventMs += count * each.readMs;
+        path.firstEventMs += count * each.prefillMs;
         path.full = path.full || each.full;
     }
     path.firstEventMs += path.eventIntervalMs;
