--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -338,7 +338,7 @@
             const LayerRange wanted = change.path[i].layers;
             if (!holdsPart(moved, i) || !hasRoom(moved, i))
                 return answer(false);
-            prefillMs += moved.context / m_service.model->readTokensPerMs * engine.kind->readFactor
+            prefillMs += moved.context / m_service.model->prefillTokensPerMs * engine.kind->readFactor
                       * (wanted.end - wanted.begin) / m_service.model->layers;
         }
         leave(*found);
@@ -512,7 +512,7 @@
             const double part = static_cast<double>(layers.end - layers.begin) / model.layers;
             if (run.unread > 0) {
                 const double tokens = std::min(run.unread, ChunkTokens);
-                readerMs += tokens / model.readTokensPerMs * engine.kind->readFactor * part;
+                readerMs += tokens / model.prefillTokensPerMs * engine.kind->readFactor * part;
             } else {
                 share = std::max(share, part);
                 writerMs +=
@@ -814,7 +814,7 @@
     for (const EmulatedGroup &group : settings.engines) {
         const AcceleratorKind &kind = *model.kind(group.kind);
         const double tokenMs = (model.perSequenceMs + context * model.contextMsPerK) * kind.pace
-                               + prompts / model.readTokensPerMs * kind.readFactor;
+                               + prompts / model.prefillTokensPerMs * kind.readFactor;
         perSecond += group.count * 1000 / tokenMs;
     }
     return perSecond;
@@ -830,7 +830,7 @@
     model.stepMs = 1.02;
     model.perSequenceMs = 0.00714;
     model.contextMsPerK = 0.00956;
-    model.readTokensPerMs = 105;
+    model.prefillTokensPerMs = 105;
     model.stride = 3;
     model.loadSeconds = 14;
     model.usualPrompt = 774;
@@ -848,7 +848,7 @@
 {
     EmulationSettings settings = todaysFleet();
     settings.model.stride = 5;
-    settings.model.readTokensPerMs = 164;
+    settings.model.prefillTokensPerMs = 164;
     settings.model.bytesPerToken = 590'000;
     settings.model.perSequenceMs = 0.00459;
     settings.model.contextMsPerK = 0.00615;
@@ -868,7 +868,7 @@
 {
     EmulationSettings settings = todaysFleet();
     settings.model.stride = 6;
-    settings.model.readTokensPerMs = 128;
+    settings.model.prefillTokensPerMs = 128;
     settings.model.bytesPerToken = 754'000;
     settings.model.perSequenceMs = 0.00586;
     settings.model.contextMsPerK = 0.00785;
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -13,7 +13,7 @@
     model.stepMs = 1;
     model.perSequenceMs = 0.01;
     model.contextMsPerK = 0.01;
-    model.readTokensPerMs = 100;
+    model.prefillTokensPerMs = 100;
     model.stride = 3;
     model.loadSeconds = 10;
     model.usualPrompt = 800;
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -138,7 +138,7 @@
                 model.layerMegabytes = 1000;
                 model.bytesPerToken = 10'000.0 * model.layers;
                 model.stepMs = 1;
-                model.readTokensPerMs = 100;
+                model.prefillTokensPerMs = 100;
                 model.stride = 3;
                 model.usualPrompt = 100;
                 model.usualAnswer = 50;
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -39,7 +39,7 @@
     double stepMs = 0; ///< one step over all layers at pace 1
     double perSequenceMs = 0; ///< added to a step for each sequence
     double contextMsPerK = 0; ///< added for each 1,000 tokens of context of a sequence
-    double readTokensPerMs = 0; ///< prompt tokens over all layers at factor 1
+    double prefillTokensPerMs = 0; ///< prompt tokens over all layers at factor 1
     std::uint32_t stride = 1; ///< steps in a pass
     double loadSeconds = 0; ///< to load all layers
     double activationBytes = 0; ///< of one token, passed from engine to engine
@@ -60,8 +60,8 @@
     /// Time that \a kind needs to read \a tokens through \a held layers.
     double prefillMs(const AcceleratorKind &kind, double tokens, double held) const
     {
-        return readTokensPerMs > 0 && layers > 0
-                   ? tokens / readTokensPerMs * kind.readFactor * held / layers
+        return prefillTokensPerMs > 0 && layers > 0
+                   ? tokens / prefillTokensPerMs * kind.readFactor * held / layers
                    : 0;
     }
 
