--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -338,7 +338,7 @@
             const LayerRange wanted = change.path[i].layers;
             if (!holdsPart(moved, i) || !hasRoom(moved, i))
                 return answer(false);
-            prefillMs += moved.context / m_service.model->prefillTokensPerMs * engine.kind->readFactor
+            prefillMs += moved.context / m_service.model->prefillTokensPerMs * engine.kind->prefillFactor
                       * (wanted.end - wanted.begin) / m_service.model->layers;
         }
         leave(*found);
@@ -512,7 +512,7 @@
             const double part = static_cast<double>(layers.end - layers.begin) / model.layers;
             if (run.unread > 0) {
                 const double tokens = std::min(run.unread, ChunkTokens);
-                readerMs += tokens / model.prefillTokensPerMs * engine.kind->readFactor * part;
+                readerMs += tokens / model.prefillTokensPerMs * engine.kind->prefillFactor * part;
             } else {
                 share = std::max(share, part);
                 writerMs +=
@@ -814,7 +814,7 @@
     for (const EmulatedGroup &group : settings.engines) {
         const AcceleratorKind &kind = *model.kind(group.kind);
         const double tokenMs = (model.perSequenceMs + context * model.contextMsPerK) * kind.pace
-                               + prompts / model.prefillTokensPerMs * kind.readFactor;
+                               + prompts / model.prefillTokensPerMs * kind.prefillFactor;
         perSecond += group.count * 1000 / tokenMs;
     }
     return perSecond;
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -27,7 +27,7 @@
     std::string name;
     double sizeMegabytes = 0;
     double pace = 1; ///< factor on steps and context
-    double readFactor = 1; ///< factor on reading prompts
+    double prefillFactor = 1; ///< factor on reading prompts
 };
 
 /// What is known of engines that each hold a range of one model's layers.
@@ -61,7 +61,7 @@
     double prefillMs(const AcceleratorKind &kind, double tokens, double held) const
     {
         return prefillTokensPerMs > 0 && layers > 0
-                   ? tokens / prefillTokensPerMs * kind.readFactor * held / layers
+                   ? tokens / prefillTokensPerMs * kind.prefillFactor * held / layers
                    : 0;
     }
 
