--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -241,7 +241,7 @@
         std::exponential_distribution<double> length(1.0);
         const std::size_t instance = m_random() % m_relays.size();
         Caller caller;
-        const double usual = m_service.model->usualPrompt;
+        const double usual = m_service.model->typicalPromptTokens;
         caller.prompt = static_cast<std::uint32_t>(
             std::clamp(usual * (0.3 + 0.7 * length(m_random)), 20.0, 3 * usual));
         const double answer = m_service.model->usualAnswer;
@@ -808,8 +808,8 @@
     // Each engine runs its layers for a large batch; the layers that it could
     // run in a second, over those of one token with its share of the prompt.
     const LayeredModel &model = settings.model;
-    const double context = (model.usualPrompt + model.usualAnswer / 2.0) / 1000;
-    const double prompts = static_cast<double>(model.usualPrompt) / std::max(1U, model.usualAnswer);
+    const double context = (model.typicalPromptTokens + model.usualAnswer / 2.0) / 1000;
+    const double prompts = static_cast<double>(model.typicalPromptTokens) / std::max(1U, model.usualAnswer);
     double perSecond = 0;
     for (const EmulatedGroup &group : settings.engines) {
         const AcceleratorKind &kind = *model.kind(group.kind);
@@ -833,7 +833,7 @@
     model.prefillTokensPerMs = 105;
     model.stride = 3;
     model.loadSeconds = 14;
-    model.usualPrompt = 774;
+    model.typicalPromptTokens = 774;
     model.usualAnswer = 204;
     model.kinds = {
         {"large", 72'000, 2.4, 3.2}, {"middle", 43'200, 5.6, 2.7}, {"small", 21'600, 16, 8.2}};
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -140,7 +140,7 @@
                 model.stepMs = 1;
                 model.prefillTokensPerMs = 100;
                 model.stride = 3;
-                model.usualPrompt = 100;
+                model.typicalPromptTokens = 100;
                 model.usualAnswer = 50;
                 model.kinds = {{"card", 1000.0 * model.layers + 4000, 1, 1}};
                 each.model = model;
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -44,7 +44,7 @@
     double loadSeconds = 0; ///< to load all layers
     double activationBytes = 0; ///< of one token, passed from engine to engine
     double pipeBytesPerMs = 0; ///< of a pipe between two domains; 0: not told
-    std::uint32_t usualPrompt = 0;
+    std::uint32_t typicalPromptTokens = 0;
     std::uint32_t usualAnswer = 0;
     std::vector<AcceleratorKind> kinds;
 
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -255,7 +255,7 @@
         const EngineLoad load = book.load(each.id, each.domain, now);
         const double streams = 1 + load.streams;
         const double pace = kind->pace * (belief && now < belief->slowdownUntil ? belief->pace : 1);
-        const double context = (model.usualPrompt + model.usualAnswer / 2.0) / 1000;
+        const double context = (model.typicalPromptTokens + model.usualAnswer / 2.0) / 1000;
         const double step =
             model.stepMs + streams * (model.perSequenceMs + context * model.contextMsPerK);
         const std::uint32_t held = each.layers.length();
@@ -267,7 +267,7 @@
         // What runs goes on growing; what waits takes its place first.
         const double growth = load.reported
                                   ? (load.streams * model.usualAnswer / 2
-                                     + load.queued * (model.usualPrompt + model.usualAnswer))
+                                     + load.queued * (model.typicalPromptTokens + model.usualAnswer))
                                         * held
                                   : 0;
         candidate.fullness = (load.used + growth + need) / room;
