--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -244,7 +244,7 @@
         const double usual = m_service.model->typicalPromptTokens;
         caller.prompt = static_cast<std::uint32_t>(
             std::clamp(usual * (0.3 + 0.7 * length(m_random)), 20.0, 3 * usual));
-        const double answer = m_service.model->usualAnswer;
+        const double answer = m_service.model->typicalAnswerTokens;
         caller.answer = static_cast<std::uint32_t>(
             std::clamp(answer * (0.3 + 0.7 * length(m_random)), 6.0, 3 * answer));
         caller.askedAt = caller.lastEventAt = m_now;
@@ -808,8 +808,8 @@
     // Each engine runs its layers for a large batch; the layers that it could
     // run in a second, over those of one token with its share of the prompt.
     const LayeredModel &model = settings.model;
-    const double context = (model.typicalPromptTokens + model.usualAnswer / 2.0) / 1000;
-    const double prompts = static_cast<double>(model.typicalPromptTokens) / std::max(1U, model.usualAnswer);
+    const double context = (model.typicalPromptTokens + model.typicalAnswerTokens / 2.0) / 1000;
+    const double prompts = static_cast<double>(model.typicalPromptTokens) / std::max(1U, model.typicalAnswerTokens);
     double perSecond = 0;
     for (const EmulatedGroup &group : settings.engines) {
         const AcceleratorKind &kind = *model.kind(group.kind);
@@ -834,7 +834,7 @@
     model.stride = 3;
     model.loadSeconds = 14;
     model.typicalPromptTokens = 774;
-    model.usualAnswer = 204;
+    model.typicalAnswerTokens = 204;
     model.kinds = {
         {"large", 72'000, 2.4, 3.2}, {"middle", 43'200, 5.6, 2.7}, {"small", 21'600, 16, 8.2}};
     settings.engines = {{"a", "large", 2},  {"b", "large", 1},  {"c", "large", 1},
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -17,7 +17,7 @@
     model.stride = 3;
     model.loadSeconds = 10;
     model.typicalPromptTokens = 800;
-    model.usualAnswer = 200;
+    model.typicalAnswerTokens = 200;
     model.kinds = {{"fast", 40'000, 2, 2}, {"slow", 12'000, 10, 6}};
     return model;
 }
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -141,7 +141,7 @@
                 model.prefillTokensPerMs = 100;
                 model.stride = 3;
                 model.typicalPromptTokens = 100;
-                model.usualAnswer = 50;
+                model.typicalAnswerTokens = 50;
                 model.kinds = {{"card", 1000.0 * model.layers + 4000, 1, 1}};
                 each.model = model;
             }
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -45,7 +45,7 @@
     double activationBytes = 0; ///< of one token, passed from engine to engine
     double pipeBytesPerMs = 0; ///< of a pipe between two domains; 0: not told
     std::uint32_t typicalPromptTokens = 0;
-    std::uint32_t usualAnswer = 0;
+    std::uint32_t typicalAnswerTokens = 0;
     std::vector<AcceleratorKind> kinds;
 
     const AcceleratorKind *kind(std::string_view name) const;
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -167,7 +167,7 @@
     /// Usual requests that \a engine has room for when it holds \a count layers.
     double fits(const Engine &engine, std::uint32_t count) const
     {
-        const double usual = std::max(1U, m_model.typicalPromptTokens + m_model.usualAnswer);
+        const double usual = std::max(1U, m_model.typicalPromptTokens + m_model.typicalAnswerTokens);
         return m_model.room(*engine.kind, count) / count / usual
                * std::min(1.0, ReferencePace / engine.kind->pace);
     }
--- a/src/libbalsamloft/layerplanner_test.cpp
+++ b/src/libbalsamloft/layerplanner_test.cpp
@@ -91,7 +91,7 @@
                 continue;
             const double room = model.room(*model.kind(each.kind), held) / held;
             for (std::uint32_t layer = each.layers.begin; layer < each.layers.end; ++layer)
-                rooms[layer] += room / (model.typicalPromptTokens + model.usualAnswer);
+                rooms[layer] += room / (model.typicalPromptTokens + model.typicalAnswerTokens);
         }
         return *std::min_element(rooms.begin(), rooms.end());
     }
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -255,7 +255,7 @@
         const EngineLoad load = book.load(each.id, each.domain, now);
         const double streams = 1 + load.streams;
         const double pace = kind->pace * (belief && now < belief->slowdownUntil ? belief->pace : 1);
-        const double context = (model.typicalPromptTokens + model.usualAnswer / 2.0) / 1000;
+        const double context = (model.typicalPromptTokens + model.typicalAnswerTokens / 2.0) / 1000;
         const double step =
             model.stepMs + streams * (model.perSequenceMs + context * model.contextMsPerK);
         const std::uint32_t held = each.layers.length();
@@ -266,8 +266,8 @@
         candidate.mayBegin = !query.excludedAsFirst || !query.excludedAsFirst->contains(each.id);
         // What runs goes on growing; what waits takes its place first.
         const double growth = load.reported
-                                  ? (load.streams * model.usualAnswer / 2
-                                     + load.queued * (model.typicalPromptTokens + model.usualAnswer))
+                                  ? (load.streams * model.typicalAnswerTokens / 2
+                                     + load.queued * (model.typicalPromptTokens + model.typicalAnswerTokens))
                                         * held
                                   : 0;
         candidate.fullness = (load.used + growth + need) / room;
