--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -516,7 +516,7 @@
             } else {
                 share = std::max(share, part);
                 writerMs +=
-                    (model.perSequenceMs + run.context / 1000.0 * model.contextMsPerK) * part;
+                    (model.perSequenceMs + run.context / 1000.0 * model.contextMsPer1kTokens) * part;
             }
         }
         const double step = share * model.stepMs + writerMs;
@@ -813,7 +813,7 @@
     double perSecond = 0;
     for (const EmulatedGroup &group : settings.engines) {
         const AcceleratorKind &kind = *model.kind(group.kind);
-        const double tokenMs = (model.perSequenceMs + context * model.contextMsPerK) * kind.pace
+        const double tokenMs = (model.perSequenceMs + context * model.contextMsPer1kTokens) * kind.pace
                                + prompts / model.prefillTokensPerMs * kind.prefillFactor;
         perSecond += group.count * 1000 / tokenMs;
     }
@@ -829,7 +829,7 @@
     model.bytesPerToken = 918'000;
     model.stepMs = 1.02;
     model.perSequenceMs = 0.00714;
-    model.contextMsPerK = 0.00956;
+    model.contextMsPer1kTokens = 0.00956;
     model.prefillTokensPerMs = 105;
     model.stride = 3;
     model.loadSeconds = 14;
@@ -851,7 +851,7 @@
     settings.model.prefillTokensPerMs = 164;
     settings.model.bytesPerToken = 590'000;
     settings.model.perSequenceMs = 0.00459;
-    settings.model.contextMsPerK = 0.00615;
+    settings.model.contextMsPer1kTokens = 0.00615;
     settings.engines = {{"a", "large", 3},   {"b", "large", 1},  {"c", "large", 1},
                         {"d", "large", 3},   {"a", "middle", 5}, {"b", "middle", 8},
                         {"c", "middle", 12}, {"d", "middle", 5}, {"a", "small", 11},
@@ -871,7 +871,7 @@
     settings.model.prefillTokensPerMs = 128;
     settings.model.bytesPerToken = 754'000;
     settings.model.perSequenceMs = 0.00586;
-    settings.model.contextMsPerK = 0.00785;
+    settings.model.contextMsPer1kTokens = 0.00785;
     settings.engines = {{"a", "large", 5},   {"b", "large", 3},   {"c", "large", 2},
                         {"d", "large", 5},   {"e", "large", 3},   {"a", "middle", 9},
                         {"b", "middle", 13}, {"c", "middle", 22}, {"d", "middle", 9},
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -12,7 +12,7 @@
     model.bytesPerToken = 10'000.0 * layers;
     model.stepMs = 1;
     model.perSequenceMs = 0.01;
-    model.contextMsPerK = 0.01;
+    model.contextMsPer1kTokens = 0.01;
     model.prefillTokensPerMs = 100;
     model.stride = 3;
     model.loadSeconds = 10;
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -38,7 +38,7 @@
     double bytesPerToken = 0; ///< KV memory of one token over all layers
     double stepMs = 0; ///< one step over all layers at pace 1
     double perSequenceMs = 0; ///< added to a step for each sequence
-    double contextMsPerK = 0; ///< added for each 1,000 tokens of context of a sequence
+    double contextMsPer1kTokens = 0; ///< added for each 1,000 tokens of context of a sequence
     double prefillTokensPerMs = 0; ///< prompt tokens over all layers at factor 1
     std::uint32_t stride = 1; ///< steps in a pass
     double loadSeconds = 0; ///< to load all layers
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -257,7 +257,7 @@
         const double pace = kind->pace * (belief && now < belief->slowdownUntil ? belief->pace : 1);
         const double context = (model.typicalPromptTokens + model.typicalAnswerTokens / 2.0) / 1000;
         const double step =
-            model.stepMs + streams * (model.perSequenceMs + context * model.contextMsPerK);
+            model.stepMs + streams * (model.perSequenceMs + context * model.contextMsPer1kTokens);
         const std::uint32_t held = each.layers.length();
         const double need = static_cast<double>(query.promptTokens + query.answerTokens) * held;
         const double room = std::max(1.0, model.room(*kind, held));
