--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -43,7 +43,7 @@
     std::uint32_t stride = 1; ///< steps in a pass
     double loadSeconds = 0; ///< to load all layers
     double activationBytes = 0; ///< of one token, passed from engine to engine
-    double pipeBytesPerMs = 0; ///< of a pipe between two domains; 0: not told
+    double linkBytesPerMs = 0; ///< of a pipe between two domains; 0: not told
     std::uint32_t typicalPromptTokens = 0;
     std::uint32_t typicalAnswerTokens = 0;
     std::vector<AcceleratorKind> kinds;
@@ -68,7 +68,7 @@
     /// Time that \a tokens take through a pipe between two domains, one after another.
     double crossingMs(double tokens) const
     {
-        return pipeBytesPerMs > 0 ? tokens * activationBytes / pipeBytesPerMs : 0;
+        return linkBytesPerMs > 0 ? tokens * activationBytes / linkBytesPerMs : 0;
     }
 };
 
--- a/src/libbalsamloft/pathchooser_test.cpp
+++ b/src/libbalsamloft/pathchooser_test.cpp
@@ -125,7 +125,7 @@
 {
     Choice choice;
     choice.service.model->activationBytes = 30'000;
-    choice.service.model->pipeBytesPerMs = 1'000'000;
+    choice.service.model->linkBytesPerMs = 1'000'000;
     choice.fleet.endpoints = {engine("1", {0, 12}, "near"), engine("2", {16, 24}, "near"),
                               engine("3", {0, 24}, "far", "slow")};
     const auto path = choice();
@@ -143,7 +143,7 @@
 {
     Choice choice;
     choice.service.model->activationBytes = 30'000;
-    choice.service.model->pipeBytesPerMs = 1'000'000;
+    choice.service.model->linkBytesPerMs = 1'000'000;
     choice.book.setInstances(4);
     choice.fleet.endpoints = {engine("1", {0, 12}, "near"), engine("2", {16, 24}, "near"),
                               engine("3", {0, 24}, "far", "slow")};
