--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -25,7 +25,7 @@
 struct AcceleratorKind
 {
     std::string name;
-    double sizeMegabytes = 0;
+    double memoryMegabytes = 0;
     double pace = 1; ///< factor on steps and context
     double prefillFactor = 1; ///< factor on reading prompts
 };
--- a/src/libbalsamloft/gapfiller_test.cpp
+++ b/src/libbalsamloft/gapfiller_test.cpp
@@ -59,7 +59,7 @@
     std::uint32_t most() const
     {
         const AcceleratorKind *kind = service.model->kind("fast");
-        return static_cast<std::uint32_t>(kind->sizeMegabytes * 0.94
+        return static_cast<std::uint32_t>(kind->memoryMegabytes * 0.94
                                           / service.model->layerMegabytes);
     }
 
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -255,7 +255,7 @@
     double held = 0;
     for (Engine *each : engines) {
         cover.push_back(each);
-        held += each->kind->sizeMegabytes;
+        held += each->kind->memoryMegabytes;
         if (held < whole * (1 + settings.replicaHeadroom))
             continue;
         covers.push_back(std::move(cover));
@@ -273,7 +273,7 @@
     std::vector<double> sizes;
     std::vector<std::uint32_t> most;
     for (const Engine *each : cover) {
-        sizes.push_back(each->kind->sizeMegabytes);
+        sizes.push_back(each->kind->memoryMegabytes);
         most.push_back(each->most(model, room));
     }
     const std::vector<std::uint32_t> counts = split(model.layers, sizes, most);
@@ -295,8 +295,8 @@
         if (each.movable && each.layers.length() == 0)
             free.push_back(&each);
     std::sort(free.begin(), free.end(), [](const Engine *left, const Engine *right) {
-        return std::tie(right->kind->sizeMegabytes, left->endpoint->id)
-               < std::tie(left->kind->sizeMegabytes, right->endpoint->id);
+        return std::tie(right->kind->memoryMegabytes, left->endpoint->id)
+               < std::tie(left->kind->memoryMegabytes, right->endpoint->id);
     });
     Costs costs(group, model);
     for (Engine *each : free) {
--- a/src/libbalsamloft/layerplanner_test.cpp
+++ b/src/libbalsamloft/layerplanner_test.cpp
@@ -62,7 +62,7 @@
         const FleetEndpoint *each = fleet.find(order.endpoint);
         REQUIRE(each);
         REQUIRE(order.layers.end <= service.model->layers);
-        const double size = service.model->kind(each->kind)->sizeMegabytes;
+        const double size = service.model->kind(each->kind)->memoryMegabytes;
         REQUIRE((order.layers.end - order.layers.begin) * service.model->layerMegabytes <= size);
     }
 
@@ -143,7 +143,7 @@
         for (std::uint64_t i = 0; i < count; ++i) {
             const AcceleratorKind &kind = model.kinds[random() % 3];
             plan.add("e" + std::to_string(i), "d" + std::to_string(random() % domains), kind.name);
-            memory += std::floor(kind.sizeMegabytes * 0.9 / model.layerMegabytes);
+            memory += std::floor(kind.memoryMegabytes * 0.9 / model.layerMegabytes);
         }
         plan.run(std::chrono::seconds(40));
         INFO("round " << round << " layers " << model.layers << " memory " << memory);
--- a/src/libbalsamloft/routemap.cpp
+++ b/src/libbalsamloft/routemap.cpp
@@ -17,14 +17,14 @@
 
 double LayeredModel::room(const AcceleratorKind &kind, std::uint32_t held) const
 {
-    const double left = kind.sizeMegabytes - layerMegabytes * held;
+    const double left = kind.memoryMegabytes - layerMegabytes * held;
     const double perTokenLayer = bytesPerToken / std::max(1U, layers);
     return perTokenLayer <= 0 ? 0 : std::max(0.0, left * 1e6 / perTokenLayer);
 }
 
 std::uint32_t LayeredModel::maxLayers(const AcceleratorKind &kind, double room) const
 {
-    const double fits = kind.sizeMegabytes * (1 - room) / std::max(1.0, layerMegabytes);
+    const double fits = kind.memoryMegabytes * (1 - room) / std::max(1.0, layerMegabytes);
     return static_cast<std::uint32_t>(std::min<double>(layers, std::floor(fits)));
 }
 
