--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -399,7 +399,7 @@
         run.path = send.path;
         const Caller &caller = m_callers[instance][send.flight];
         run.made =
-            static_cast<std::uint32_t>(send.afterEvent.value_or(0)) * m_service.model->stride;
+            static_cast<std::uint32_t>(send.afterEvent.value_or(0)) * m_service.model->tokensPerPass;
         run.unread = caller.prompt + run.made;
         run.answer = caller.answer;
         for (const PathPart &part : send.path)
@@ -520,7 +520,7 @@
             }
         }
         const double step = share * model.stepMs + writerMs;
-        return milliseconds(step * engine.kind->pace * model.stride + readerMs);
+        return milliseconds(step * engine.kind->pace * model.tokensPerPass + readerMs);
     }
 
     void endPass(std::size_t index)
@@ -554,9 +554,9 @@
             at(Hop, [this, id] { wait(id); });
             return;
         }
-        const std::uint32_t stride = m_service.model->stride;
-        run.made += stride;
-        grow(run, stride);
+        const std::uint32_t tokensPerPass = m_service.model->tokensPerPass;
+        run.made += tokensPerPass;
+        grow(run, tokensPerPass);
         emit(id);
         if (run.over)
             return;
@@ -620,7 +620,7 @@
             caller.brokenAt.reset();
         }
         caller.lastEventAt = m_now;
-        m_tokens += m_service.model->stride;
+        m_tokens += m_service.model->tokensPerPass;
         relay.eventsPassed(run.flight, run.attempt, caller.events, m_now, actions);
         if (run.made >= run.answer) {
             relay.streamCompleted(run.flight, run.attempt, m_now, actions);
@@ -831,7 +831,7 @@
     model.perSequenceMs = 0.00714;
     model.contextMsPer1kTokens = 0.00956;
     model.prefillTokensPerMs = 105;
-    model.stride = 3;
+    model.tokensPerPass = 3;
     model.loadSeconds = 14;
     model.typicalPromptTokens = 774;
     model.typicalAnswerTokens = 204;
@@ -847,7 +847,7 @@
 EmulationSettings grownFleet()
 {
     EmulationSettings settings = todaysFleet();
-    settings.model.stride = 5;
+    settings.model.tokensPerPass = 5;
     settings.model.prefillTokensPerMs = 164;
     settings.model.bytesPerToken = 590'000;
     settings.model.perSequenceMs = 0.00459;
@@ -867,7 +867,7 @@
 EmulationSettings largeFleet()
 {
     EmulationSettings settings = todaysFleet();
-    settings.model.stride = 6;
+    settings.model.tokensPerPass = 6;
     settings.model.prefillTokensPerMs = 128;
     settings.model.bytesPerToken = 754'000;
     settings.model.perSequenceMs = 0.00586;
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -14,7 +14,7 @@
     model.perSequenceMs = 0.01;
     model.contextMsPer1kTokens = 0.01;
     model.prefillTokensPerMs = 100;
-    model.stride = 3;
+    model.tokensPerPass = 3;
     model.loadSeconds = 10;
     model.typicalPromptTokens = 800;
     model.typicalAnswerTokens = 200;
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -139,7 +139,7 @@
                 model.bytesPerToken = 10'000.0 * model.layers;
                 model.stepMs = 1;
                 model.prefillTokensPerMs = 100;
-                model.stride = 3;
+                model.tokensPerPass = 3;
                 model.typicalPromptTokens = 100;
                 model.typicalAnswerTokens = 50;
                 model.kinds = {{"card", 1000.0 * model.layers + 4000, 1, 1}};
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -40,7 +40,7 @@
     double perSequenceMs = 0; ///< added to a step for each sequence
     double contextMsPer1kTokens = 0; ///< added for each 1,000 tokens of context of a sequence
     double prefillTokensPerMs = 0; ///< prompt tokens over all layers at factor 1
-    std::uint32_t stride = 1; ///< steps in a pass
+    std::uint32_t tokensPerPass = 1; ///< steps in a pass
     double loadSeconds = 0; ///< to load all layers
     double activationBytes = 0; ///< of one token, passed from engine to engine
     double linkBytesPerMs = 0; ///< of a pipe between two domains; 0: not told
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -274,7 +274,7 @@
         candidate.full =
             candidate.fullness > (load.reported ? settings.maxReportedFullness : settings.maxEstimatedFullness);
         candidate.prefillMs = model.prefillMs(*kind, query.promptTokens, 1);
-        candidate.passMs = model.stride * step * pace / model.layers;
+        candidate.passMs = model.tokensPerPass * step * pace / model.layers;
         candidate.factor = 1 + settings.fullnessWeight * std::pow(std::min(candidate.fullness, 3.0), 4)
                            + 2 * book.failureShare(each.id, now);
         found.push_back(candidate);
@@ -302,7 +302,7 @@
 {
     const LayeredModel &model = *service.model;
     const double passes =
-        std::max(1.0, static_cast<double>(query.answerTokens) / std::max(1U, model.stride));
+        std::max(1.0, static_cast<double>(query.answerTokens) / std::max(1U, model.tokensPerPass));
     const double hopCost = m_settings.hopMs * passes;
     std::lognormal_distribution<double> noise(0,
                                               std::max(spread(book.sharingInstances()), query.minCostNoise));
