--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -208,7 +208,7 @@
         m_firstEventAt > m_startedAt ? m_firstEventAt - m_startedAt : Duration {};
     const bool late = m_route
                       && (first > m_route->targetLatency
-                          || (m_route->targetGap > Duration {} && m_longestGap > m_route->targetGap)
+                          || (m_route->targetEventGap > Duration {} && m_longestGap > m_route->targetEventGap)
                           || (m_route->kind != RequestKind::Stream
                               && now - m_startedAt > m_route->targetLatency));
     RequestOutcome ended;
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -96,7 +96,7 @@
     RequestKind kind = RequestKind::Safe;
     Duration timeout {}; ///< longest time that a request is kept
     Duration targetLatency {};
-    Duration targetGap {}; ///< longest pause between events that is on time
+    Duration targetEventGap {}; ///< longest pause between events that is on time
     int priority = 0; ///< 0 is the highest
     std::uint32_t maxAttempts = 1; ///< endpoints that may execute one request
     bool anonymous = false; ///< needs no key
