--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -337,7 +337,7 @@
 
     Flight *current(FlightId id, std::uint32_t attempt);
     const RoutedService &service(const Flight &flight) const;
-    RepeatWindow &budget(const Flight &flight);
+    RetryWindow &budget(const Flight &flight);
     void dispatch(FlightId id, Flight &flight, Time now, RelayActions &actions);
     std::optional<EnginePath> findPath(const Flight &flight, const std::set<std::string> &without,
                                        Time now);
@@ -406,7 +406,7 @@
     RateLimits m_limits;
     FleetPtr m_fleet;
     FlightMap m_flights;
-    std::map<std::string, RepeatWindow, std::less<>> m_budgets; ///< by service
+    std::map<std::string, RetryWindow, std::less<>> m_budgets; ///< by service
     std::deque<std::pair<Time, std::size_t>> m_instanceCounts; ///< of the last window
     std::map<std::string, Time, std::less<>> m_askedAt;
     Time m_lastTick {};
--- a/src/include/balsamloft/retrybudget.h
+++ b/src/include/balsamloft/retrybudget.h
@@ -38,7 +38,7 @@
     Time m_refilledAt {};
 };
 
-/// Settings of a RepeatWindow.
+/// Settings of a RetryWindow.
 struct RepeatWindowSettings
 {
     Duration window {10'000'000}; ///< repeats are bounded in any span of this length
@@ -53,10 +53,10 @@
 /// bound gives its savings once and then only the share of requests; the bound
 /// itself gives the slack anew in each window, which is what an outage of some
 /// seconds needs.
-class RepeatWindow
+class RetryWindow
 {
 public:
-    explicit RepeatWindow(RepeatWindowSettings settings = {});
+    explicit RetryWindow(RepeatWindowSettings settings = {});
 
     // Commands
 
--- a/src/libbalsamloft/limits_test.cpp
+++ b/src/libbalsamloft/limits_test.cpp
@@ -208,7 +208,7 @@
 // a bucket that is empty would refuse all of the later ones.
 TEST_CASE("repeats are bounded in any span of the window", "[limits]")
 {
-    RepeatWindow budget({.window = std::chrono::seconds(10), .perRequest = 0.1, .slack = 20});
+    RetryWindow budget({.window = std::chrono::seconds(10), .perRequest = 0.1, .slack = 20});
     std::vector<double> granted;
     for (int tenths = 0; tenths < 600; ++tenths) {
         budget.requestStarted(at(tenths / 10.0));
@@ -228,7 +228,7 @@
 // what was spent before still counted, the stream would be told that none is left.
 TEST_CASE("a window tells that it affords a repeat as soon as it does", "[limits]")
 {
-    RepeatWindow budget({.perRequest = 0, .slack = 2});
+    RetryWindow budget({.perRequest = 0, .slack = 2});
     CHECK(budget.withdraw(at(0)));
     CHECK(budget.withdraw(at(1)));
     CHECK_FALSE(budget.affords(at(2)));
@@ -239,7 +239,7 @@
 
 TEST_CASE("a new process counts a part of its share as spent, for one window", "[limits]")
 {
-    RepeatWindow budget({.perRequest = 0, .slack = 20, .spentBefore = 16});
+    RetryWindow budget({.perRequest = 0, .slack = 20, .spentBefore = 16});
     const auto granted = [&](double seconds) {
         int count = 0;
         while (budget.withdraw(at(seconds)))
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -33,7 +33,7 @@
     return flight.request.table->services()[flight.request.service];
 }
 
-RepeatWindow &Relay::budget(const Flight &flight)
+RetryWindow &Relay::budget(const Flight &flight)
 {
     const std::string &name = service(flight).name;
     const auto it = m_budgets.find(name);
--- a/src/libbalsamloft/retrybudget.cpp
+++ b/src/libbalsamloft/retrybudget.cpp
@@ -32,18 +32,18 @@
 
 } // namespace
 
-RepeatWindow::RepeatWindow(RepeatWindowSettings settings)
+RetryWindow::RetryWindow(RepeatWindowSettings settings)
     : m_settings(settings)
 {
 }
 
 /// A slice counts until its youngest moment has left the window.
-bool RepeatWindow::over(const Slice &slice, Time now) const
+bool RetryWindow::over(const Slice &slice, Time now) const
 {
     return now - slice.begin > m_settings.window + m_settings.window / SlicesInWindow;
 }
 
-RepeatWindow::Slice &RepeatWindow::slice(Time now)
+RetryWindow::Slice &RetryWindow::slice(Time now)
 {
     if (m_firstAt == Time {})
         m_firstAt = now;
@@ -55,18 +55,18 @@
     return m_slices.back();
 }
 
-void RepeatWindow::requestStarted(Time now)
+void RetryWindow::requestStarted(Time now)
 {
     slice(now).requests += 1;
 }
 
-double RepeatWindow::allowance(Time now) const
+double RetryWindow::allowance(Time now) const
 {
     const bool firstWindow = now - m_firstAt < m_settings.window;
     return m_settings.slack - (firstWindow ? m_settings.spentBefore : 0);
 }
 
-double RepeatWindow::balance(Time now) const
+double RetryWindow::balance(Time now) const
 {
     double left = allowance(now);
     for (const Slice &each : m_slices) {
@@ -77,7 +77,7 @@
     return left;
 }
 
-bool RepeatWindow::withdraw(Time now, double kept)
+bool RetryWindow::withdraw(Time now, double kept)
 {
     Slice &present = slice(now);
     if (balance(now) < 1 + kept * std::max(0.0, allowance(now)))
