--- a/src/include/balsamloft/retrybudget.h
+++ b/src/include/balsamloft/retrybudget.h
@@ -39,7 +39,7 @@
 };
 
 /// Settings of a RetryWindow.
-struct RepeatWindowSettings
+struct RetryWindowSettings
 {
     Duration window {10'000'000}; ///< repeats are bounded in any span of this length
     double perRequest = 0.1; ///< repeats for each request of the last window
@@ -56,7 +56,7 @@
 class RetryWindow
 {
 public:
-    explicit RetryWindow(RepeatWindowSettings settings = {});
+    explicit RetryWindow(RetryWindowSettings settings = {});
 
     // Commands
 
@@ -93,7 +93,7 @@
     /// Repeats that may still be made now.
     double balance(Time now) const;
 
-    RepeatWindowSettings m_settings;
+    RetryWindowSettings m_settings;
     std::deque<Slice> m_slices; ///< oldest first
     Time m_firstAt {};
 };
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -39,7 +39,7 @@
     const auto it = m_budgets.find(name);
     if (it != m_budgets.end())
         return it->second;
-    RepeatWindowSettings settings;
+    RetryWindowSettings settings;
     settings.window = m_settings.retryWindow;
     settings.perRequest = m_settings.retryRatio;
     settings.slack = slackShare();
--- a/src/libbalsamloft/retrybudget.cpp
+++ b/src/libbalsamloft/retrybudget.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-RetryWindow::RetryWindow(RepeatWindowSettings settings)
+RetryWindow::RetryWindow(RetryWindowSettings settings)
     : m_settings(settings)
 {
 }
