--- a/src/include/balsamloft/retrybudget.h
+++ b/src/include/balsamloft/retrybudget.h
@@ -73,7 +73,7 @@
     // Queries
 
     /// Whether withdraw() would succeed.
-    bool affords(Time now) const { return balance(now) >= 1; }
+    bool canWithdraw(Time now) const { return balance(now) >= 1; }
 
 private:
     /// What happened in one slice of the window.
--- a/src/libbalsamloft/limits_test.cpp
+++ b/src/libbalsamloft/limits_test.cpp
@@ -231,9 +231,9 @@
     RetryWindow budget({.perRequest = 0, .slack = 2});
     CHECK(budget.withdraw(at(0)));
     CHECK(budget.withdraw(at(1)));
-    CHECK_FALSE(budget.affords(at(2)));
-    CHECK_FALSE(budget.affords(at(10)));
-    CHECK(budget.affords(at(10.6)));
+    CHECK_FALSE(budget.canWithdraw(at(2)));
+    CHECK_FALSE(budget.canWithdraw(at(10)));
+    CHECK(budget.canWithdraw(at(10.6)));
     CHECK(budget.withdraw(at(10.6)));
 }
 
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -315,7 +315,7 @@
     if (holdBack(id, flight, now, actions))
         return;
     // Asked at each tick while it waits: no path is looked for that cannot be paid.
-    if (flight.repeatOwed && !budget(flight).affords(now))
+    if (flight.repeatOwed && !budget(flight).canWithdraw(now))
         return;
     SendRequest send;
     if (!choose(flight, now, send))
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -156,7 +156,7 @@
 {
     if (!flight.passing)
         return true;
-    if (!mayRunAgain(flight, flight.endpoint) || !budget(flight).affords(now))
+    if (!mayRunAgain(flight, flight.endpoint) || !budget(flight).canWithdraw(now))
         return false;
     std::set<std::string> without = flight.avoid;
     without.insert(flight.endpoint);
