--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -41,7 +41,7 @@
      "return turn.place\n", "return true || turn.place\n",
      "ratelimits_test: an endpoint gets no more than the limit that it names allows the fleet"),
     ("a limit is believed for longer by many", "src/libbalsamloft/ratelimits.cpp",
-     "std::max(seconds(m_settings.believedFor), shared)", "seconds(m_settings.believedFor)",
+     "std::max(seconds(m_settings.limitValidity), shared)", "seconds(m_settings.limitValidity)",
      "ratelimits_test: an endpoint gets no more than the limit that it names allows the fleet"),
     ("ends that another request explains", "src/libbalsamloft/quarantine.cpp",
      "&& !explainedByOther(digest, each.first, now)", "",
--- a/src/include/balsamloft/ratelimits.h
+++ b/src/include/balsamloft/ratelimits.h
@@ -22,7 +22,7 @@
     Duration slotLasts {1'000'000};
     /// A limit is believed so long after the last answer, and longer by far where many
     /// instances share it, see beliefOf().
-    Duration believedFor {10'000'000};
+    Duration limitValidity {10'000'000};
     Duration probeEvery {1'000'000}; ///< one that is no longer believed, until it answers
 };
 
--- a/src/libbalsamloft/ratelimits.cpp
+++ b/src/libbalsamloft/ratelimits.cpp
@@ -135,7 +135,7 @@
 {
     const double shared =
         static_cast<double>(m_instances.size()) / (ProbeShare * limit.perSecond + 0.5);
-    const double least = std::max(seconds(m_settings.believedFor), shared);
+    const double least = std::max(seconds(m_settings.limitValidity), shared);
     const double spread = static_cast<double>(std::hash<std::string> {}(m_self) % 1000) / 1000;
     return Duration(static_cast<std::int64_t>(least * (1 + spread) * 1e6));
 }
