--- a/src/include/balsamloft/ratelimits.h
+++ b/src/include/balsamloft/ratelimits.h
@@ -21,7 +21,7 @@
     /// at once.
     Duration slotLasts {1'000'000};
     /// A limit is believed so long after the last answer, and longer by far where many
-    /// instances share it, see beliefOf().
+    /// instances share it, see validityOf().
     Duration limitValidity {10'000'000};
     Duration probeEvery {1'000'000}; ///< one that is no longer believed, until it answers
 };
@@ -90,7 +90,7 @@
     double sharedSeconds(Time now) const;
     static bool owns(const Limit &limit, std::int64_t slot);
     std::optional<double> freeSlot(const Limit &limit, Time now) const;
-    Duration beliefOf(const Limit &limit) const;
+    Duration validityOf(const Limit &limit) const;
     Turn turnOf(const std::string &domain, bool within) const;
     void share(Limit &limit, Time now) const;
 
--- a/src/libbalsamloft/ratelimits.cpp
+++ b/src/libbalsamloft/ratelimits.cpp
@@ -131,7 +131,7 @@
 /// Who no longer believes in a limit may send a request to find out. The more instances share
 /// it, the longer each believes, so that these requests stay a small part of it; and for an
 /// own length each, since all may have heard of it at the same moment.
-Duration RateLimits::beliefOf(const Limit &limit) const
+Duration RateLimits::validityOf(const Limit &limit) const
 {
     const double shared =
         static_cast<double>(m_instances.size()) / (ProbeShare * limit.perSecond + 0.5);
@@ -146,7 +146,7 @@
     if (it == m_limits.end())
         return true;
     const Limit &limit = it->second;
-    if (now - limit.heardAt > beliefOf(limit) && now - limit.sentAt >= m_settings.probeEvery)
+    if (now - limit.heardAt > validityOf(limit) && now - limit.sentAt >= m_settings.probeEvery)
         return true;
     return freeSlot(limit, now).has_value();
 }
