--- a/src/include/balsamloft/ratelimits.h
+++ b/src/include/balsamloft/ratelimits.h
@@ -23,7 +23,7 @@
     /// A limit is believed so long after the last answer, and longer by far where many
     /// instances share it, see validityOf().
     Duration limitValidity {10'000'000};
-    Duration probeEvery {1'000'000}; ///< one that is no longer believed, until it answers
+    Duration probeInterval {1'000'000}; ///< one that is no longer believed, until it answers
 };
 
 /// Decides whether this instance may send a request to an endpoint that limits how many it
--- a/src/libbalsamloft/ratelimits.cpp
+++ b/src/libbalsamloft/ratelimits.cpp
@@ -146,7 +146,7 @@
     if (it == m_limits.end())
         return true;
     const Limit &limit = it->second;
-    if (now - limit.heardAt > validityOf(limit) && now - limit.sentAt >= m_settings.probeEvery)
+    if (now - limit.heardAt > validityOf(limit) && now - limit.sentAt >= m_settings.probeInterval)
         return true;
     return freeSlot(limit, now).has_value();
 }
