--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -32,7 +32,7 @@
      "now - m_toldOldAt > AnsweredLately", "true",
      "propagation_test: the store's calls do not grow with the number of instances"),
     ("a slot of a rate limit lasts a second", "src/libbalsamloft/ratelimits.cpp",
-     "std::max(until - seconds(m_settings.slotLasts), limit.usedTo)", "limit.usedTo",
+     "std::max(until - seconds(m_settings.slotLifetime), limit.usedTo)", "limit.usedTo",
      "ratelimits_test: a rush after a lull gives a limited endpoint no more than its limit"),
     ("a slot of a rate limit is used once", "src/libbalsamloft/ratelimits.cpp",
      "it->second.usedTo = *slot;", "(void)slot;",
--- a/src/include/balsamloft/ratelimits.h
+++ b/src/include/balsamloft/ratelimits.h
@@ -19,7 +19,7 @@
     /// So long after it begins a slot may be used. Longer, and fewer are lost where an
     /// instance has seldom a request for the endpoint; but all that are unused may be used
     /// at once.
-    Duration slotLasts {1'000'000};
+    Duration slotLifetime {1'000'000};
     /// A limit is believed so long after the last answer, and longer by far where many
     /// instances share it, see validityOf().
     Duration limitValidity {10'000'000};
--- a/src/libbalsamloft/ratelimits.cpp
+++ b/src/libbalsamloft/ratelimits.cpp
@@ -117,7 +117,7 @@
 std::optional<double> RateLimits::freeSlot(const Limit &limit, Time now) const
 {
     const double until = sharedSeconds(now);
-    const double from = std::max(until - seconds(m_settings.slotLasts), limit.usedTo);
+    const double from = std::max(until - seconds(m_settings.slotLifetime), limit.usedTo);
     const auto last = static_cast<std::int64_t>(std::floor(until * limit.perSecond));
     for (auto slot = static_cast<std::int64_t>(std::floor(from * limit.perSecond)) + 1;
          slot <= last; ++slot) {
