--- a/src/include/balsamloft/ratelimits.h
+++ b/src/include/balsamloft/ratelimits.h
@@ -47,7 +47,7 @@
                       const std::string &domain, Time now);
 
     /// The clock that all instances share, less the one that is passed as the present time.
-    void setClock(Duration offset) { m_offset = offset; }
+    void setClockOffset(Duration offset) { m_offset = offset; }
 
     /// Forgets endpoints that are not in \a fleet.
     void follow(const FleetSnapshot &fleet);
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -74,7 +74,7 @@
 void Relay::shareLimits(std::span<const PeerInstance> all, const std::string &self, Duration clock,
                         Time now)
 {
-    m_limits.setClock(clock);
+    m_limits.setClockOffset(clock);
     m_limits.setInstances(all, self, m_settings.domain, now);
 }
 
