--- a/src/bench/scenarios.cpp
+++ b/src/bench/scenarios.cpp
@@ -374,7 +374,7 @@
         harness.freeze(1, true);
         break;
     case Fault::SilentConnection:
-        harness.engine(1).swallow = 5;
+        harness.engine(1).answersToDrop = 5;
         break;
     case Fault::LostThird:
         for (const std::size_t i : {0, 4, 8, 1})
--- a/src/fakes/routerharness.cpp
+++ b/src/fakes/routerharness.cpp
@@ -217,8 +217,8 @@
         const auto node = m_sent[index].extract(outcome.ticket);
         if (node.empty())
             continue;
-        if (engine.swallow > 0) {
-            --engine.swallow;
+        if (engine.answersToDrop > 0) {
+            --engine.answersToDrop;
             continue;
         }
         outcome.answer.load = laggedReport(engine);
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -285,7 +285,7 @@
                 harness.freeze(engine, false);
                 break;
             case 4:
-                harness.engine(engine).swallow = 2;
+                harness.engine(engine).answersToDrop = 2;
                 break;
             default:
                 harness.engine(engine).cross = 2;
