--- a/src/fakes/routerharness.cpp
+++ b/src/fakes/routerharness.cpp
@@ -222,8 +222,8 @@
             continue;
         }
         outcome.answer.load = laggedReport(engine);
-        if (engine.cross > 0 && !outcome.failure) {
-            --engine.cross;
+        if (engine.answersToMisroute > 0 && !outcome.failure) {
+            --engine.answersToMisroute;
             outcome.answer.ref.request += 1;
         }
         deliver(node.mapped(), outcome);
--- a/src/fakes/routerharness.h
+++ b/src/fakes/routerharness.h
@@ -47,7 +47,7 @@
     bool killed = false; ///< connections are refused and reset
     bool frozen = false; ///< accepts bytes, answers nothing; probes time out
     std::uint32_t answersToDrop = 0; ///< answers lost on connections that went silent
-    std::uint32_t cross = 0; ///< answers delivered to a wrong request
+    std::uint32_t answersToMisroute = 0; ///< answers delivered to a wrong request
     Duration extraLatency {}; ///< of a degraded link, one way
     std::map<Time, LoadReport> reports; ///< past ones, for lagging reports
 };
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -288,7 +288,7 @@
                 harness.engine(engine).answersToDrop = 2;
                 break;
             default:
-                harness.engine(engine).cross = 2;
+                harness.engine(engine).answersToMisroute = 2;
                 break;
             }
             harness.runFor(std::chrono::milliseconds(150));
--- a/src/libbalsamloft/router_test.cpp
+++ b/src/libbalsamloft/router_test.cpp
@@ -162,8 +162,8 @@
     for (int i = 0; i < 4; ++i)
         ids.push_back(harness.submit(0, completion(harness, "p" + std::to_string(i), 40)));
     harness.runFor(std::chrono::milliseconds(200));
-    harness.engine(0).cross = 2;
-    harness.engine(2).cross = 2;
+    harness.engine(0).answersToMisroute = 2;
+    harness.engine(2).answersToMisroute = 2;
     harness.runFor(std::chrono::seconds(20));
     for (const RequestId id : ids) {
         const CallerRecord &record = harness.record(id);
