--- a/src/fakes/routerharness.cpp
+++ b/src/fakes/routerharness.cpp
@@ -143,8 +143,8 @@
 {
     CallerRecord &record = m_records.at(id);
     record.endedAt = m_now;
-    if (onEnd)
-        at(m_now, [this, id] { onEnd(m_records.at(id)); });
+    if (onFinished)
+        at(m_now, [this, id] { onFinished(m_records.at(id)); });
 }
 
 void RouterHarness::perform(std::size_t router, ClaimActions &actions)
--- a/src/fakes/routerharness.h
+++ b/src/fakes/routerharness.h
@@ -98,7 +98,7 @@
     bool tablesDown = false; // NOLINT(readability-identifier-naming): a fault to switch on
 
     /// Called when a request ends, to submit the next of a closed loop.
-    std::function<void(const CallerRecord &)> onEnd; // NOLINT(readability-identifier-naming)
+    std::function<void(const CallerRecord &)> onFinished; // NOLINT(readability-identifier-naming)
 
 private:
     struct Instance
