--- a/src/bench/scenarios.cpp
+++ b/src/bench/scenarios.cpp
@@ -147,7 +147,7 @@
     for (const auto &[id, record] : harness.records()) {
         if (record.answer)
             times.push_back(
-                std::chrono::duration<double>(record.endedAt - record.submittedAt).count());
+                std::chrono::duration<double>(record.finishedAt - record.submittedAt).count());
     }
     for (std::size_t i = 0; i < scenario.routers; ++i) {
         const RouterCounters &counters = harness.router(i).counters();
@@ -388,7 +388,7 @@
     double whole = 0;
     for (const auto &[id, record] : harness.records()) {
         whole += record.answer ? 1 : 0;
-        if (record.submittedAt >= faultAt || record.endedAt < faultAt)
+        if (record.submittedAt >= faultAt || record.finishedAt < faultAt)
             continue;
         const auto next = std::find_if(record.tokens.begin(), record.tokens.end(),
                                        [&](const auto &token) { return token.first >= faultAt; });
--- a/src/fakes/routerharness.cpp
+++ b/src/fakes/routerharness.cpp
@@ -142,7 +142,7 @@
 void RouterHarness::end(RequestId id)
 {
     CallerRecord &record = m_records.at(id);
-    record.endedAt = m_now;
+    record.finishedAt = m_now;
     if (onFinished)
         at(m_now, [this, id] { onFinished(m_records.at(id)); });
 }
--- a/src/fakes/routerharness.h
+++ b/src/fakes/routerharness.h
@@ -26,7 +26,7 @@
     std::vector<std::pair<Time, std::string>> tokens;
     std::optional<Answer> answer;
     std::optional<RefuseRequest> refusal;
-    Time endedAt {};
+    Time finishedAt {};
     std::uint32_t attempts = 0; ///< started for it
 
     /// The text given to the caller.
--- a/src/libbalsamloft/router_test.cpp
+++ b/src/libbalsamloft/router_test.cpp
@@ -210,7 +210,7 @@
     CHECK(record.refusal->code == RefusalCode::NoEndpoint);
     CHECK(record.refusal->ran == Ran::No);
     CHECK(record.refusal->retryAfter > Duration::zero());
-    CHECK(record.endedAt - record.submittedAt < std::chrono::seconds(10));
+    CHECK(record.finishedAt - record.submittedAt < std::chrono::seconds(10));
 }
 
 TEST_CASE("a link that degrades is avoided, and tried again later", "[router][failure]")
@@ -346,7 +346,7 @@
     REQUIRE(harness.record(id).refusal);
     CHECK(harness.record(id).refusal->code == RefusalCode::ClaimUnavailable);
     CHECK(harness.record(id).refusal->ran == Ran::No);
-    CHECK(harness.record(id).endedAt - harness.record(id).submittedAt < std::chrono::seconds(5));
+    CHECK(harness.record(id).finishedAt - harness.record(id).submittedAt < std::chrono::seconds(5));
     harness.tablesDown = false;
     harness.runFor(std::chrono::seconds(5));
     request.deadline = harness.now() + std::chrono::seconds(60);
