--- a/src/bench/policy_test.cpp
+++ b/src/bench/policy_test.cpp
@@ -23,7 +23,7 @@
     const LoadFigures ours = runLoad({.load = 0.5});
     const LoadFigures random = runLoad({.policy = RoutingPolicy::Random, .load = 0.5});
     CHECK(ours.ofOffered == 1);
-    CHECK(ours.refusedNotRun == 0);
+    CHECK(ours.refusedNotExecuted == 0);
     CHECK(ours.medianSeconds < 0.9 * random.medianSeconds);
     CHECK(ours.p95Seconds < 0.9 * random.p95Seconds);
 }
@@ -32,7 +32,7 @@
 {
     const LoadFigures figures = runLoad({.load = 3});
     CHECK(static_cast<double>(figures.refusedOutcomeUnknown)
-          < 0.005 * static_cast<double>(figures.refusedNotRun));
+          < 0.005 * static_cast<double>(figures.refusedNotExecuted));
 }
 
 TEST_CASE("alerts start within a step though batch work saturates the engines", "[policy]")
--- a/src/bench/scenarios.cpp
+++ b/src/bench/scenarios.cpp
@@ -152,7 +152,7 @@
     for (std::size_t i = 0; i < scenario.routers; ++i) {
         const RouterCounters &counters = harness.router(i).counters();
         unexecutedAttempts += counters.unexecutedAttempts;
-        figures.refusedNotRun += counters.refusedNotRun;
+        figures.refusedNotExecuted += counters.refusedNotExecuted;
         figures.refusedOutcomeUnknown += counters.refusedOutcomeUnknown;
     }
     const auto offered = static_cast<double>(harness.records().size());
--- a/src/bench/scenarios.h
+++ b/src/bench/scenarios.h
@@ -31,7 +31,7 @@
     double medianSeconds = 0; ///< time in the system of those answered
     double p95Seconds = 0;
     double unexecutedPerRequest = 0;
-    std::uint64_t refusedNotRun = 0;
+    std::uint64_t refusedNotExecuted = 0;
     std::uint64_t refusedOutcomeUnknown = 0;
 };
 
--- a/src/include/balsamloft/router.h
+++ b/src/include/balsamloft/router.h
@@ -40,7 +40,7 @@
     std::uint64_t submitted = 0;
     std::uint64_t dispatched = 0;
     std::uint64_t finished = 0;
-    std::uint64_t refusedNotRun = 0;
+    std::uint64_t refusedNotExecuted = 0;
     std::uint64_t refusedOutcomeUnknown = 0;
     std::uint64_t retries = 0;
     std::uint64_t unexecutedAttempts = 0; ///< endpoints that proved not to have run it
--- a/src/libbalsamloft/routeradmission.cpp
+++ b/src/libbalsamloft/routeradmission.cpp
@@ -190,7 +190,7 @@
     ++m_counters.submitted;
     const RequestId id = request.id;
     const auto deny = [&](Denial denial) {
-        ++m_counters.refusedNotRun;
+        ++m_counters.refusedNotExecuted;
         m_trace.add(id, now,
                     "refused: " + std::string(toString(denial.code)) + ": " + denial.message);
         const Duration retryAfter(
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -265,7 +265,7 @@
     const RequestId id = flight.request.id;
     Target &target = targetOf(flight);
     const Ran ran = flight.mayHaveRun ? Ran::Unknown : Ran::No;
-    ++(ran == Ran::No ? m_counters.refusedNotRun : m_counters.refusedOutcomeUnknown);
+    ++(ran == Ran::No ? m_counters.refusedNotExecuted : m_counters.refusedOutcomeUnknown);
     m_trace.add(id, now, "refused: " + std::string(toString(code)) + ": " + message);
     if (flight.state == FlightState::Running)
         cancelStages(flight, NoEndpoint, actions);
