--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -74,7 +74,7 @@
     flight.stage = 0;
     flight.silentPeriods = 0;
     flight.prefillPass = true;
-    flight.attemptMayHaveRun = false;
+    flight.attemptMayHaveExecuted = false;
     flight.lastTokenAt = now;
     std::string route;
     for (const Stage &stage : flight.chain)
@@ -85,7 +85,7 @@
                     + std::to_string(m_loads.estimatedLoad(flight.chain.front().endpoint, now)));
     if (flight.request.kind == TargetKind::Service) {
         flight.stepSentAt = now;
-        flight.mayHaveExecuted = flight.attemptMayHaveRun = true;
+        flight.mayHaveExecuted = flight.attemptMayHaveExecuted = true;
         setTimer(flight, std::min(flight.request.deadline, now + silenceAfter(flight)));
         actions.push_back(SendCall {flight.request.id, flight.attempt,
                                     flight.chain.front().endpoint, flight.request.deadline});
@@ -126,7 +126,7 @@
     step.deadline = flight.request.deadline;
     step.input = std::move(input);
     flight.stepSentAt = now;
-    flight.mayHaveExecuted = flight.attemptMayHaveRun = true;
+    flight.mayHaveExecuted = flight.attemptMayHaveExecuted = true;
     setTimer(flight, std::min(flight.request.deadline, now + silenceAfter(flight)));
     actions.push_back(std::move(step));
 }
--- a/src/libbalsamloft/routerfailures.cpp
+++ b/src/libbalsamloft/routerfailures.cpp
@@ -43,7 +43,7 @@
     // this attempt did. Later steps follow ones that have run.
     const bool nothingRan = provesNotRun(kind) && flight.prefillPass && flight.stage == 0;
     if (nothingRan) {
-        flight.attemptMayHaveRun = false;
+        flight.attemptMayHaveExecuted = false;
         flight.mayHaveExecuted = flight.retries > 0 || !flight.tokens.empty();
     }
     switch (kind) {
--- a/src/libbalsamloft/routerimpl.h
+++ b/src/libbalsamloft/routerimpl.h
@@ -30,7 +30,7 @@
     FlightState state = FlightState::Queued;
     bool claimed = false; ///< its key is this request's
     bool mayHaveExecuted = false; ///< some endpoint may have executed a part
-    bool attemptMayHaveRun = false; ///< as mayHaveExecuted, of the present attempt
+    bool attemptMayHaveExecuted = false; ///< as mayHaveExecuted, of the present attempt
     bool prefillPass = false;
     std::uint32_t attempt = 0;
     std::uint32_t retries = 0;
