--- a/src/balsamloftd/trafficworker.cpp
+++ b/src/balsamloftd/trafficworker.cpp
@@ -502,7 +502,7 @@
 
 void TrafficWorker::operator()(SettleClaim &settle)
 {
-    m_control.settleClaim(m_settings.index, std::move(settle));
+    m_control.resolveClaim(m_settings.index, std::move(settle));
 }
 
 void TrafficWorker::operator()(ProbeEndpoint &probe)
--- a/src/balsamloftd/trafficworker.h
+++ b/src/balsamloftd/trafficworker.h
@@ -26,7 +26,7 @@
 public:
     virtual ~ControlLink() = default;
     virtual void startClaim(std::uint32_t worker, StartClaim claim) = 0;
-    virtual void settleClaim(std::uint32_t worker, SettleClaim settle) = 0;
+    virtual void resolveClaim(std::uint32_t worker, SettleClaim settle) = 0;
 
     virtual void endpointSaysLeaving(std::string endpoint) = 0;
 
