--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -26,7 +26,7 @@
      "if (untold(now, untoldFor) && storeUsable(now))", "if (false)",
      "propagation_test: an instance that starts knows all within three seconds, whoever is dead"),
     ("who is told nothing asks the store at once", "src/libbalsamloft/peerdirectory.cpp",
-     "return {NewsSource::Kind::Store, nullptr, true};", "return {NewsSource::Kind::Store, nullptr, false};",
+     "return {ReadSource::Kind::Store, nullptr, true};", "return {ReadSource::Kind::Store, nullptr, false};",
      "propagation_test: what an instance in touch knows is never older than a change may take"),
     ("old news are a word of an outage", "src/libbalsamloft/peerdirectory.cpp",
      "now - m_toldOldAt > AnsweredLately", "true",
--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -208,10 +208,10 @@
     const auto index = static_cast<std::size_t>(table);
     const Time told = std::max(m_server.state(table).knownAt, m_followsSince);
     const Duration untoldFor = toldSeldom(table) ? Duration {} : bootNow() - told;
-    const NewsSource from = m_directory.source(steadyNow(), untoldFor);
-    if (from.kind == NewsSource::Kind::Nobody)
+    const ReadSource from = m_directory.source(steadyNow(), untoldFor);
+    if (from.kind == ReadSource::Kind::Nobody)
         return nullptr;
-    if (from.kind == NewsSource::Kind::Store)
+    if (from.kind == ReadSource::Kind::Store)
         return {m_storeSources[index].get(), from.atOnce};
     const PeerInstance &peer = *from.instance;
     auto &known = m_peerSources[index][peer.name + "@" + peer.address];
--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -142,9 +142,9 @@
 void NewsEmulator::ask(Instance &instance)
 {
     const Time toldAt = instance.version > 0 ? instance.knownAt : instance.busyUntil;
-    const NewsSource from = instance.directory.source(m_now, m_now - toldAt);
-    instance.ofStore = from.kind == NewsSource::Kind::Store;
-    if (from.kind == NewsSource::Kind::Nobody) {
+    const ReadSource from = instance.directory.source(m_now, m_now - toldAt);
+    instance.ofStore = from.kind == ReadSource::Kind::Store;
+    if (from.kind == ReadSource::Kind::Nobody) {
         instance.nextAt = m_now + RetryPause;
         return;
     }
--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -24,7 +24,7 @@
 };
 
 /// Where the store's tables are to be read from now.
-struct NewsSource
+struct ReadSource
 {
     enum class Kind : std::uint8_t {
         Store,
@@ -80,7 +80,7 @@
 
     /// Where to read from now. \a untoldFor: the age of what is known; while nothing is,
     /// how long it has been asked for.
-    NewsSource source(Time now, Duration untoldFor = {}) const;
+    ReadSource source(Time now, Duration untoldFor = {}) const;
 
     /// Whether this instance is the one that reads the store for its domain.
     bool first(Time now) const;
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -155,31 +155,31 @@
            && (m_told || now - m_toldNothingAt > AnsweredLately);
 }
 
-NewsSource PeerDirectory::source(Time now, Duration untoldFor) const
+ReadSource PeerDirectory::source(Time now, Duration untoldFor) const
 {
     if (untold(now, untoldFor) && storeUsable(now))
-        return {NewsSource::Kind::Store, nullptr, true};
+        return {ReadSource::Kind::Store, nullptr, true};
     const std::vector<const PeerInstance *> earlier = before(now);
     if (earlier.size() == Readers) {
         const std::vector<const PeerInstance *> above = parents();
         for (const PeerInstance *each : above)
             if (useful(*each, now))
-                return {NewsSource::Kind::Instance, each};
+                return {ReadSource::Kind::Instance, each};
         if (std::any_of(above.begin(), above.end(),
                         [&](const PeerInstance *each) { return good(*each, now); }))
             return {};
     }
     for (const PeerInstance *each : earlier)
         if (useful(*each, now))
-            return {NewsSource::Kind::Instance, each};
+            return {ReadSource::Kind::Instance, each};
     if (earlier.size() < Readers && storeUsable(now))
-        return {NewsSource::Kind::Store, nullptr};
+        return {ReadSource::Kind::Store, nullptr};
     // A reader without the store is told by the other reader of its domain.
     if (earlier.empty())
         if (const PeerInstance *other = next(now); other && useful(*other, now))
-            return {NewsSource::Kind::Instance, other};
+            return {ReadSource::Kind::Instance, other};
     if (const PeerInstance *each = elsewhere(now))
-        return {NewsSource::Kind::Instance, each};
+        return {ReadSource::Kind::Instance, each};
     return {};
 }
 
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -268,7 +268,7 @@
 {
     return static_cast<std::size_t>(
         std::count_if(directories.begin(), directories.end(), [&](const PeerDirectory &each) {
-            return each.source(now).kind == NewsSource::Kind::Store;
+            return each.source(now).kind == ReadSource::Kind::Store;
         }));
 }
 
@@ -289,11 +289,11 @@
     std::size_t calls = 0;
     for (Time now = Start; now < Start + milliseconds(10'000); now += milliseconds(50)) {
         for (PeerDirectory &each : directories) {
-            const NewsSource from = each.source(now);
-            if (from.kind == NewsSource::Kind::Store) {
+            const ReadSource from = each.source(now);
+            if (from.kind == ReadSource::Kind::Store) {
                 calls += 1;
                 each.storeFailed(now);
-            } else if (from.kind == NewsSource::Kind::Instance) {
+            } else if (from.kind == ReadSource::Kind::Instance) {
                 each.told(from.instance->name, now - Start + milliseconds(1300), false, now);
             }
         }
@@ -324,8 +324,8 @@
         for (std::size_t i = 0; i < instances.size(); ++i) {
             if (dead.contains(instances[i].name))
                 continue;
-            const NewsSource from = directories[i].source(now);
-            if (from.kind == NewsSource::Kind::Store)
+            const ReadSource from = directories[i].source(now);
+            if (from.kind == ReadSource::Kind::Store)
                 readers.insert(instances[i].name);
             else if (from.instance && dead.contains(from.instance->name))
                 directories[i].silent(from.instance->name, now);
@@ -343,12 +343,12 @@
     const std::vector<PeerInstance> instances = twoDomains(8);
     std::vector<PeerDirectory> directories = directoriesOf(instances);
     directories[0].storeFailed(Start);
-    const NewsSource first = directories[0].source(Start);
+    const ReadSource first = directories[0].source(Start);
     REQUIRE(first.instance);
     CHECK(first.instance->name == instances[2].name);
     // The first one's news are no older than usual, but not its own any more.
     directories[2].told(instances[0].name, milliseconds(600), false, Start);
-    CHECK(directories[2].source(Start).kind == NewsSource::Kind::Store);
+    CHECK(directories[2].source(Start).kind == ReadSource::Kind::Store);
     directories[4].told(instances[0].name, milliseconds(600), false, Start);
     REQUIRE(directories[4].source(Start).instance);
     CHECK(directories[4].source(Start).instance->name == instances[0].name);
@@ -363,18 +363,18 @@
     for (const std::size_t reader : {0U, 2U}) {
         directories[reader].storeFailed(Start);
         directories[reader].told(instances[2 - reader].name, milliseconds(1500), false, Start);
-        const NewsSource from = directories[reader].source(Start);
+        const ReadSource from = directories[reader].source(Start);
         REQUIRE(from.instance);
         CHECK(from.instance->domain == "d");
     }
     for (std::size_t i = 4; i < instances.size(); i += 2) {
         for (int asked = 0; asked < 2; ++asked) {
-            const NewsSource from = directories[i].source(Start);
+            const ReadSource from = directories[i].source(Start);
             REQUIRE(from.instance);
             CHECK(from.instance->domain == instances[i].domain);
             directories[i].told(from.instance->name, milliseconds(1500), false, Start);
         }
-        CHECK(directories[i].source(Start).kind == NewsSource::Kind::Nobody);
+        CHECK(directories[i].source(Start).kind == ReadSource::Kind::Nobody);
     }
 }
 
@@ -384,7 +384,7 @@
     const std::vector<PeerInstance> instances = twoDomains(300);
     PeerDirectory directory = directoriesOf(instances)[298];
     for (int asked = 0; asked < 2; ++asked) {
-        const NewsSource from = directory.source(Start);
+        const ReadSource from = directory.source(Start);
         REQUIRE(from.instance);
         CHECK(from.instance->name != instances[0].name);
         directory.silent(from.instance->name, Start);
