--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -209,7 +209,7 @@
     const Time told = std::max(m_server.state(table).knownAt, m_followsSince);
     const Duration untoldFor = toldSeldom(table) ? Duration {} : bootNow() - told;
     const ReadSource from = m_directory.source(steadyNow(), untoldFor);
-    if (from.kind == ReadSource::Kind::Nobody)
+    if (from.kind == ReadSource::Kind::None)
         return nullptr;
     if (from.kind == ReadSource::Kind::Store)
         return {m_storeSources[index].get(), from.atOnce};
--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -144,7 +144,7 @@
     const Time toldAt = instance.version > 0 ? instance.knownAt : instance.busyUntil;
     const ReadSource from = instance.directory.source(m_now, m_now - toldAt);
     instance.ofStore = from.kind == ReadSource::Kind::Store;
-    if (from.kind == ReadSource::Kind::Nobody) {
+    if (from.kind == ReadSource::Kind::None) {
         instance.nextAt = m_now + RetryPause;
         return;
     }
--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -29,10 +29,10 @@
     enum class Kind : std::uint8_t {
         Store,
         Instance,
-        Nobody, ///< all that may be asked knew too little just now: wait
+        None, ///< all that may be asked knew too little just now: wait
     };
 
-    Kind kind = Kind::Nobody;
+    Kind kind = Kind::None;
     const PeerInstance *instance = nullptr; ///< only for Instance
     bool atOnce = false; ///< the answer is not to be held until there are changes
 };
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -374,7 +374,7 @@
             CHECK(from.instance->domain == instances[i].domain);
             directories[i].told(from.instance->name, milliseconds(1500), false, Start);
         }
-        CHECK(directories[i].source(Start).kind == ReadSource::Kind::Nobody);
+        CHECK(directories[i].source(Start).kind == ReadSource::Kind::None);
     }
 }
 
