--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -23,7 +23,7 @@
      "!readAt || silence == Duration {}", "true",
      "propagation_test: each instance is told a change about once, however long it takes"),
     ("who is told nothing reads the store", "src/libbalsamloft/peerdirectory.cpp",
-     "if (untold(now, untoldFor) && storeUsable(now))", "if (false)",
+     "if (untold(now, updateAge) && storeUsable(now))", "if (false)",
      "propagation_test: an instance that starts knows all within three seconds, whoever is dead"),
     ("who is told nothing asks the store at once", "src/libbalsamloft/peerdirectory.cpp",
      "return {ReadSource::Kind::Store, nullptr, true};", "return {ReadSource::Kind::Store, nullptr, false};",
--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -207,8 +207,8 @@
 {
     const auto index = static_cast<std::size_t>(table);
     const Time told = std::max(m_server.state(table).knownAt, m_followsSince);
-    const Duration untoldFor = toldSeldom(table) ? Duration {} : bootNow() - told;
-    const ReadSource from = m_directory.source(steadyNow(), untoldFor);
+    const Duration updateAge = toldSeldom(table) ? Duration {} : bootNow() - told;
+    const ReadSource from = m_directory.source(steadyNow(), updateAge);
     if (from.kind == ReadSource::Kind::None)
         return nullptr;
     if (from.kind == ReadSource::Kind::Store)
--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -78,9 +78,9 @@
 
     // Queries
 
-    /// Where to read from now. \a untoldFor: the age of what is known; while nothing is,
+    /// Where to read from now. \a updateAge: the age of what is known; while nothing is,
     /// how long it has been asked for.
-    ReadSource source(Time now, Duration untoldFor = {}) const;
+    ReadSource source(Time now, Duration updateAge = {}) const;
 
     /// Whether this instance is the one that reads the store for its domain.
     bool first(Time now) const;
@@ -104,7 +104,7 @@
         std::uint32_t silences = 0; ///< in a row
     };
 
-    bool untold(Time now, Duration untoldFor) const;
+    bool untold(Time now, Duration updateAge) const;
     bool good(const PeerInstance &instance, Time now) const;
     bool useful(const PeerInstance &instance, Time now) const;
     std::vector<const PeerInstance *> before(Time now) const;
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -149,15 +149,15 @@
 
 /// Whether nobody tells this instance anything. Old news say that the store fails for those
 /// above; so does, at the start, one that has nothing to tell yet.
-bool PeerDirectory::untold(Time now, Duration untoldFor) const
+bool PeerDirectory::untold(Time now, Duration updateAge) const
 {
-    return untoldFor > MostAge && now - m_toldOldAt > AnsweredLately
+    return updateAge > MostAge && now - m_toldOldAt > AnsweredLately
            && (m_told || now - m_toldNothingAt > AnsweredLately);
 }
 
-ReadSource PeerDirectory::source(Time now, Duration untoldFor) const
+ReadSource PeerDirectory::source(Time now, Duration updateAge) const
 {
-    if (untold(now, untoldFor) && storeUsable(now))
+    if (untold(now, updateAge) && storeUsable(now))
         return {ReadSource::Kind::Store, nullptr, true};
     const std::vector<const PeerInstance *> earlier = before(now);
     if (earlier.size() == Readers) {
