--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -115,7 +115,7 @@
 {
     const auto endpoints = static_cast<std::size_t>(NewsTable::Endpoints);
     const std::uint64_t known = m_server.state(NewsTable::Endpoints).copy.version();
-    for (const PeerInstance &each : m_directory.readersElsewhere(now)) {
+    for (const PeerInstance &each : m_directory.remoteReaders(now)) {
         auto &source = m_elsewhereSources[each.name + "@" + each.address];
         if (!source)
             source =
--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -89,7 +89,7 @@
     bool storeUsable(Time now) const { return now >= m_storeBadUntil; }
 
     /// The instances that read for the other domains.
-    std::vector<PeerInstance> readersElsewhere(Time now) const;
+    std::vector<PeerInstance> remoteReaders(Time now) const;
 
     /// Instances in this one's domain, and in all; at least one.
     std::size_t inDomain() const;
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -232,7 +232,7 @@
     return readers.empty() ? nullptr : readers[seedOf(m_self) % readers.size()];
 }
 
-std::vector<PeerInstance> PeerDirectory::readersElsewhere(Time now) const
+std::vector<PeerInstance> PeerDirectory::remoteReaders(Time now) const
 {
     std::vector<PeerInstance> readers;
     for (const PeerInstance *each : firstElsewhere(1, now))
