--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -110,7 +110,7 @@
     std::vector<const PeerInstance *> before(Time now) const;
     std::vector<const PeerInstance *> parents() const;
     const PeerInstance *next(Time now) const;
-    std::vector<const PeerInstance *> firstElsewhere(std::size_t most, Time now) const;
+    std::vector<const PeerInstance *> remoteCandidates(std::size_t most, Time now) const;
     const PeerInstance *elsewhere(Time now) const;
 
     std::string m_self;
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -213,7 +213,7 @@
 }
 
 /// The first \a most good instances of each other domain.
-std::vector<const PeerInstance *> PeerDirectory::firstElsewhere(std::size_t most, Time now) const
+std::vector<const PeerInstance *> PeerDirectory::remoteCandidates(std::size_t most, Time now) const
 {
     std::vector<const PeerInstance *> firsts;
     std::map<std::string_view, std::size_t> counts;
@@ -227,7 +227,7 @@
 /// that no reader carries all of a domain that lost the store.
 const PeerInstance *PeerDirectory::elsewhere(Time now) const
 {
-    std::vector<const PeerInstance *> readers = firstElsewhere(Readers, now);
+    std::vector<const PeerInstance *> readers = remoteCandidates(Readers, now);
     std::erase_if(readers, [&](const PeerInstance *each) { return !useful(*each, now); });
     return readers.empty() ? nullptr : readers[seedOf(m_self) % readers.size()];
 }
@@ -235,7 +235,7 @@
 std::vector<PeerInstance> PeerDirectory::remoteReaders(Time now) const
 {
     std::vector<PeerInstance> readers;
-    for (const PeerInstance *each : firstElsewhere(1, now))
+    for (const PeerInstance *each : remoteCandidates(1, now))
         readers.push_back(*each);
     return readers;
 }
