--- a/src/entry/controlinstances.cpp
+++ b/src/entry/controlinstances.cpp
@@ -95,10 +95,10 @@
         m_instances = std::move(instances);
         m_directory.replace(m_instances);
         logDecision("instances", "counted",
-                    {{"in_domain", std::int64_t(m_directory.inDomain())},
+                    {{"in_domain", std::int64_t(m_directory.instancesInDomain())},
                      {"all", std::int64_t(m_directory.count())}});
     }
-    m_events.instances({m_instances, m_directory.inDomain(), m_directory.count(), clock});
+    m_events.instances({m_instances, m_directory.instancesInDomain(), m_directory.count(), clock});
 }
 
 void Control::writeInstance(bool leaving, std::function<void()> done)
--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -92,7 +92,7 @@
     std::vector<PeerInstance> remoteReaders(Time now) const;
 
     /// Instances in this one's domain, and in all; at least one.
-    std::size_t inDomain() const;
+    std::size_t instancesInDomain() const;
     std::size_t count() const;
 
 private:
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -240,7 +240,7 @@
     return readers;
 }
 
-std::size_t PeerDirectory::inDomain() const
+std::size_t PeerDirectory::instancesInDomain() const
 {
     const auto found =
         std::count_if(m_instances.begin(), m_instances.end(),
