--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -101,7 +101,7 @@
     {
         Time silentUntil {};
         Time behindUntil {};
-        std::uint32_t silences = 0; ///< in a row
+        std::uint32_t timeouts = 0; ///< in a row
     };
 
     bool untold(Time now, Duration updateAge) const;
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -74,8 +74,8 @@
     if (now < seen.silentUntil)
         return;
     seen.silentUntil =
-        now + (m_told ? doubled(SilentFor, seen.silences, MostSilentFor) : SilentAtStart);
-    seen.silences += 1;
+        now + (m_told ? doubled(SilentFor, seen.timeouts, MostSilentFor) : SilentAtStart);
+    seen.timeouts += 1;
 }
 
 void PeerDirectory::behind(const std::string &name, Time now)
@@ -88,7 +88,7 @@
 {
     m_told = true;
     Seen &seen = m_seen[name];
-    seen.silences = 0;
+    seen.timeouts = 0;
     seen.silentUntil = Time {};
     // The second reader steps in once the first has lost the store. Were it
     // content with news of any origin, the two would read from each other.
