--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -99,7 +99,7 @@
     /// What was seen of an instance as a source.
     struct Seen
     {
-        Time silentUntil {};
+        Time unresponsiveUntil {};
         Time behindUntil {};
         std::uint32_t timeouts = 0; ///< in a row
     };
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -71,9 +71,9 @@
 {
     Seen &seen = m_seen[name];
     // Questions that were sent together stay unanswered together.
-    if (now < seen.silentUntil)
+    if (now < seen.unresponsiveUntil)
         return;
-    seen.silentUntil =
+    seen.unresponsiveUntil =
         now + (m_told ? doubled(SilentFor, seen.timeouts, MostSilentFor) : SilentAtStart);
     seen.timeouts += 1;
 }
@@ -89,7 +89,7 @@
     m_told = true;
     Seen &seen = m_seen[name];
     seen.timeouts = 0;
-    seen.silentUntil = Time {};
+    seen.unresponsiveUntil = Time {};
     // The second reader steps in once the first has lost the store. Were it
     // content with news of any origin, the two would read from each other.
     const std::vector<const PeerInstance *> earlier = before(now);
@@ -119,7 +119,7 @@
 bool PeerDirectory::good(const PeerInstance &instance, Time now) const
 {
     const auto it = m_seen.find(instance.name);
-    return !instance.address.empty() && (it == m_seen.end() || now >= it->second.silentUntil);
+    return !instance.address.empty() && (it == m_seen.end() || now >= it->second.unresponsiveUntil);
 }
 
 bool PeerDirectory::useful(const PeerInstance &instance, Time now) const
