--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -100,7 +100,7 @@
     struct Seen
     {
         Time unresponsiveUntil {};
-        Time behindUntil {};
+        Time staleUntil {};
         std::uint32_t timeouts = 0; ///< in a row
     };
 
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -80,7 +80,7 @@
 
 void PeerDirectory::behind(const std::string &name, Time now)
 {
-    m_seen[name].behindUntil = now + BehindFor;
+    m_seen[name].staleUntil = now + BehindFor;
     m_toldNothingAt = now;
 }
 
@@ -95,7 +95,7 @@
     const std::vector<const PeerInstance *> earlier = before(now);
     const bool fromFirst = earlier.size() == 1 && earlier.front()->name == name;
     if (age > MostAge || (fromFirst && !direct))
-        seen.behindUntil = now + BehindFor;
+        seen.staleUntil = now + BehindFor;
     if (age > MostAge)
         m_toldOldAt = now;
 }
@@ -125,7 +125,7 @@
 bool PeerDirectory::useful(const PeerInstance &instance, Time now) const
 {
     const auto it = m_seen.find(instance.name);
-    return good(instance, now) && (it == m_seen.end() || now >= it->second.behindUntil);
+    return good(instance, now) && (it == m_seen.end() || now >= it->second.staleUntil);
 }
 
 /// The good instances of the own domain that come before this one, as many as
