--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -29,7 +29,7 @@
      "return {ReadSource::Kind::Store, nullptr, true};", "return {ReadSource::Kind::Store, nullptr, false};",
      "propagation_test: what an instance in touch knows is never older than a change may take"),
     ("old news are a word of an outage", "src/libbalsamloft/peerdirectory.cpp",
-     "now - m_toldOldAt > AnsweredLately", "true",
+     "now - m_staleAnswerAt > AnsweredLately", "true",
      "propagation_test: the store's calls do not grow with the number of instances"),
     ("a slot of a rate limit lasts a second", "src/libbalsamloft/ratelimits.cpp",
      "std::max(until - seconds(m_settings.slotLifetime), limit.usedTo)", "limit.usedTo",
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -97,7 +97,7 @@
     if (age > MostAge || (fromFirst && !direct))
         seen.staleUntil = now + BehindFor;
     if (age > MostAge)
-        m_toldOldAt = now;
+        m_staleAnswerAt = now;
 }
 
 void PeerDirectory::storeFailed(Time now)
@@ -151,7 +151,7 @@
 /// above; so does, at the start, one that has nothing to tell yet.
 bool PeerDirectory::untold(Time now, Duration updateAge) const
 {
-    return updateAge > MostAge && now - m_toldOldAt > AnsweredLately
+    return updateAge > MostAge && now - m_staleAnswerAt > AnsweredLately
            && (m_told || now - m_toldNothingAt > AnsweredLately);
 }
 
