--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -120,7 +120,7 @@
     std::mt19937_64 m_random;
     bool m_told = false; ///< by another instance, ever
     Time m_staleAnswerAt {}; ///< when one told what is too old to be of use, last
-    Time m_toldNothingAt {}; ///< when one knew nothing yet, last
+    Time m_emptyAnswerAt {}; ///< when one knew nothing yet, last
     Time m_storeBadUntil {};
     std::uint32_t m_storeFailures = 0; ///< in a row
 };
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -81,7 +81,7 @@
 void PeerDirectory::behind(const std::string &name, Time now)
 {
     m_seen[name].staleUntil = now + BehindFor;
-    m_toldNothingAt = now;
+    m_emptyAnswerAt = now;
 }
 
 void PeerDirectory::told(const std::string &name, Duration age, bool direct, Time now)
@@ -152,7 +152,7 @@
 bool PeerDirectory::untold(Time now, Duration updateAge) const
 {
     return updateAge > MostAge && now - m_staleAnswerAt > AnsweredLately
-           && (m_told || now - m_toldNothingAt > AnsweredLately);
+           && (m_told || now - m_emptyAnswerAt > AnsweredLately);
 }
 
 ReadSource PeerDirectory::source(Time now, Duration updateAge) const
