--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -86,7 +86,7 @@
     bool first(Time now) const;
 
     /// Whether the store may be called: it did not fail just now.
-    bool storeUsable(Time now) const { return now >= m_storeBadUntil; }
+    bool storeUsable(Time now) const { return now >= m_storeRetryAt; }
 
     /// The instances that read for the other domains.
     std::vector<PeerInstance> remoteReaders(Time now) const;
@@ -121,7 +121,7 @@
     bool m_told = false; ///< by another instance, ever
     Time m_staleAnswerAt {}; ///< when one told what is too old to be of use, last
     Time m_emptyAnswerAt {}; ///< when one knew nothing yet, last
-    Time m_storeBadUntil {};
+    Time m_storeRetryAt {};
     std::uint32_t m_storeFailures = 0; ///< in a row
 };
 
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -102,18 +102,18 @@
 
 void PeerDirectory::storeFailed(Time now)
 {
-    if (now < m_storeBadUntil)
+    if (now < m_storeRetryAt)
         return;
     const Duration most = doubled(FirstBackOff, m_storeFailures, MostBackOff);
     m_storeFailures += 1;
     std::uniform_int_distribution<std::int64_t> jitter(most.count() / 4, most.count());
-    m_storeBadUntil = now + Duration(jitter(m_random));
+    m_storeRetryAt = now + Duration(jitter(m_random));
 }
 
 void PeerDirectory::storeAnswered()
 {
     m_storeFailures = 0;
-    m_storeBadUntil = Time {};
+    m_storeRetryAt = Time {};
 }
 
 bool PeerDirectory::good(const PeerInstance &instance, Time now) const
