--- a/src/include/balsamloft/tablecopy.h
+++ b/src/include/balsamloft/tablecopy.h
@@ -50,7 +50,7 @@
     std::vector<StoreRow> all() const;
 
     /// Whether \a changes, as since() gives them, are just the rows that exist.
-    bool areAll(const std::vector<StoreRow> &changes) const;
+    bool isFullSnapshot(const std::vector<StoreRow> &changes) const;
 
     /// What changed after the version \a after, oldest first, each row as it is now;
     /// nothing when the copy does not reach back that far.
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -490,12 +490,12 @@
     TableCopy copy;
     copy.replace({{"a", "1", 5, false}}, 10);
     copy.change({{"a", "2", 12, false}}, 12);
-    CHECK(copy.areAll(*copy.since(10)));
+    CHECK(copy.isFullSnapshot(*copy.since(10)));
     copy.change({{"b", "1", 13, false}}, 13);
-    CHECK(copy.areAll(*copy.since(10)));
-    CHECK_FALSE(copy.areAll(*copy.since(12)));
+    CHECK(copy.isFullSnapshot(*copy.since(10)));
+    CHECK_FALSE(copy.isFullSnapshot(*copy.since(12)));
     copy.change({{"a", "", 14, true}}, 14);
-    CHECK_FALSE(copy.areAll(*copy.since(10))); // as many, but one is a drop
+    CHECK_FALSE(copy.isFullSnapshot(*copy.since(10))); // as many, but one is a drop
 }
 
 TEST_CASE("a copy of a table forgets the oldest drops beyond its bound, and says so")
--- a/src/libbalsamloft/tablecopy.cpp
+++ b/src/libbalsamloft/tablecopy.cpp
@@ -77,7 +77,7 @@
     return rows;
 }
 
-bool TableCopy::areAll(const std::vector<StoreRow> &changes) const
+bool TableCopy::isFullSnapshot(const std::vector<StoreRow> &changes) const
 {
     const auto exists = [](const StoreRow &row) { return !row.dropped; };
     return std::all_of(changes.begin(), changes.end(), exists)
