--- a/src/include/balsamloft/tablecopy.h
+++ b/src/include/balsamloft/tablecopy.h
@@ -67,7 +67,7 @@
     std::map<std::string, StoreRow, std::less<>> m_rows;
     bool m_known = false;
     std::uint64_t m_version = 0;
-    std::uint64_t m_reachesBackTo = 0;
+    std::uint64_t m_historyStart = 0;
 };
 
 } // namespace balsamloft
--- a/src/libbalsamloft/tablecopy.cpp
+++ b/src/libbalsamloft/tablecopy.cpp
@@ -21,7 +21,7 @@
 void TableCopy::replace(const std::vector<StoreRow> &rows, std::uint64_t version)
 {
     if (!std::exchange(m_known, true))
-        m_reachesBackTo = version;
+        m_historyStart = version;
     std::vector<StoreRow> changes = rows;
     std::set<std::string_view> present;
     for (const StoreRow &row : rows)
@@ -65,7 +65,7 @@
     std::erase_if(m_rows, [&](const auto &each) {
         return each.second.dropped && each.second.version <= *middle;
     });
-    m_reachesBackTo = std::max(m_reachesBackTo, *middle);
+    m_historyStart = std::max(m_historyStart, *middle);
 }
 
 std::vector<StoreRow> TableCopy::all() const
@@ -88,7 +88,7 @@
 
 std::optional<std::vector<StoreRow>> TableCopy::since(std::uint64_t after) const
 {
-    if (!m_known || after < m_reachesBackTo)
+    if (!m_known || after < m_historyStart)
         return std::nullopt;
     std::vector<StoreRow> rows;
     for (const auto &[key, row] : m_rows)
