--- a/src/include/balsamloft/tablecopy.h
+++ b/src/include/balsamloft/tablecopy.h
@@ -62,7 +62,7 @@
 
 private:
     bool take(const StoreRow &row);
-    void forgetOldDrops();
+    void pruneDeletions();
 
     std::map<std::string, StoreRow, std::less<>> m_rows;
     bool m_known = false;
--- a/src/libbalsamloft/tablecopy.cpp
+++ b/src/libbalsamloft/tablecopy.cpp
@@ -37,7 +37,7 @@
     std::stable_sort(rows.begin(), rows.end(), olderThan);
     std::erase_if(rows, [this](const StoreRow &each) { return !take(each); });
     m_version = std::max(m_version, version);
-    forgetOldDrops();
+    pruneDeletions();
     return rows;
 }
 
@@ -52,7 +52,7 @@
 }
 
 /// Who knows less than the youngest drop that is forgotten is told the whole table.
-void TableCopy::forgetOldDrops()
+void TableCopy::pruneDeletions()
 {
     std::vector<std::uint64_t> versions;
     for (const auto &[key, row] : m_rows)
