--- a/src/include/balsamloft/instancelist.h
+++ b/src/include/balsamloft/instancelist.h
@@ -33,7 +33,7 @@
     std::vector<PeerInstance> heard(std::span<const InstanceRow> rows, std::int64_t storeMs);
 
 private:
-    std::int64_t m_heardMs = 0;
+    std::int64_t m_lastUpdateMs = 0;
     std::int64_t m_outageMs = 0; ///< length of the last outage
     std::int64_t m_outageOverMs = 0;
 };
--- a/src/libbalsamloft/instancelist.cpp
+++ b/src/libbalsamloft/instancelist.cpp
@@ -19,17 +19,17 @@
 std::vector<PeerInstance> InstanceList::heard(std::span<const InstanceRow> rows,
                                               std::int64_t storeMs)
 {
-    if (m_heardMs > 0 && storeMs - m_heardMs > ShortestOutageMs) {
-        m_outageMs = storeMs - m_heardMs;
+    if (m_lastUpdateMs > 0 && storeMs - m_lastUpdateMs > ShortestOutageMs) {
+        m_outageMs = storeMs - m_lastUpdateMs;
         m_outageOverMs = storeMs;
     }
-    m_heardMs = std::max(m_heardMs, storeMs);
+    m_lastUpdateMs = std::max(m_lastUpdateMs, storeMs);
     // Once the living had the time to write again, silence says what it did before.
-    const bool forgiven = m_heardMs - m_outageOverMs < LifeMs;
+    const bool forgiven = m_lastUpdateMs - m_outageOverMs < LifeMs;
     const std::int64_t life = LifeMs + (forgiven ? m_outageMs : 0);
     std::vector<PeerInstance> living;
     for (const InstanceRow &each : rows)
-        if (m_heardMs - each.seenMs < life)
+        if (m_lastUpdateMs - each.seenMs < life)
             living.push_back(each.instance);
     return living;
 }
