--- a/src/include/balsamloft/instancelist.h
+++ b/src/include/balsamloft/instancelist.h
@@ -35,7 +35,7 @@
 private:
     std::int64_t m_lastUpdateMs = 0;
     std::int64_t m_outageMs = 0; ///< length of the last outage
-    std::int64_t m_outageOverMs = 0;
+    std::int64_t m_outageEndMs = 0;
 };
 
 } // namespace balsamloft
--- a/src/libbalsamloft/instancelist.cpp
+++ b/src/libbalsamloft/instancelist.cpp
@@ -21,11 +21,11 @@
 {
     if (m_lastUpdateMs > 0 && storeMs - m_lastUpdateMs > ShortestOutageMs) {
         m_outageMs = storeMs - m_lastUpdateMs;
-        m_outageOverMs = storeMs;
+        m_outageEndMs = storeMs;
     }
     m_lastUpdateMs = std::max(m_lastUpdateMs, storeMs);
     // Once the living had the time to write again, silence says what it did before.
-    const bool forgiven = m_lastUpdateMs - m_outageOverMs < LifeMs;
+    const bool forgiven = m_lastUpdateMs - m_outageEndMs < LifeMs;
     const std::int64_t life = LifeMs + (forgiven ? m_outageMs : 0);
     std::vector<PeerInstance> living;
     for (const InstanceRow &each : rows)
