--- a/src/include/balsamloft/readfreshness.h
+++ b/src/include/balsamloft/readfreshness.h
@@ -28,7 +28,7 @@
     std::optional<Time> knownAt() const { return m_knownAt; }
 
     /// Forgets the store's clock, which may begin anew when the store does.
-    void clockLost() { m_offset.reset(); }
+    void resetClock() { m_offset.reset(); }
 
 private:
     std::optional<Duration> m_offset; ///< own time minus store's time, at least
--- a/src/libbalsamloft/readfreshness.cpp
+++ b/src/libbalsamloft/readfreshness.cpp
@@ -8,7 +8,7 @@
 {
     const Time storeTime {Duration(storeMs * 1000)};
     if (storeMs < m_lastStoreMs)
-        clockLost();
+        resetClock();
     m_lastStoreMs = storeMs;
     const Duration offset = sentAt - storeTime;
     m_offset = m_offset ? std::max(*m_offset, offset) : offset;
