--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -107,9 +107,9 @@
     auto rows = after == 0 ? std::nullopt : state.copy.since(after);
     news.set_whole(!rows);
     // Packed once for all who ask, also where the only row of a table has changed.
-    if (!rows || (worthPacking(*rows) && state.copy.isFullSnapshot(*rows)))
+    if (!rows || (shouldCompress(*rows) && state.copy.isFullSnapshot(*rows)))
         addAllRows(table, news);
-    else if (worthPacking(*rows))
+    else if (shouldCompress(*rows))
         addPacked(packRows(*rows), news);
     else
         for (const StoreRow &row : *rows)
--- a/src/include/balsamloft/tableupdate.h
+++ b/src/include/balsamloft/tableupdate.h
@@ -23,7 +23,7 @@
 };
 
 /// Whether \a rows are to be packed when they are told.
-bool worthPacking(std::span<const StoreRow> rows);
+bool shouldCompress(std::span<const StoreRow> rows);
 PackedRows packRows(std::span<const StoreRow> rows);
 
 /// \return the rows; nothing when \a packed is damaged.
--- a/src/libpeer/tableupdate.cpp
+++ b/src/libpeer/tableupdate.cpp
@@ -48,7 +48,7 @@
     return {wait + (whole ? WholeWithin : ChangesWithin), SilenceWithin, wait + MostWithin};
 }
 
-bool worthPacking(std::span<const StoreRow> rows)
+bool shouldCompress(std::span<const StoreRow> rows)
 {
     std::size_t bytes = 0;
     for (const StoreRow &row : rows)
@@ -82,7 +82,7 @@
 
 std::size_t toldBytes(std::span<const StoreRow> rows)
 {
-    return worthPacking(rows) ? packRows(rows).bytes.size() : listOf(rows).ByteSizeLong();
+    return shouldCompress(rows) ? packRows(rows).bytes.size() : listOf(rows).ByteSizeLong();
 }
 
 } // namespace balsamloft
