--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -42,7 +42,7 @@
            + std::to_string(question.changedWithin.count() / 1000);
 }
 
-void PeerServer::addPacked(const PackedRows &packed, wire::TableNews &news)
+void PeerServer::addPacked(const CompressedRows &packed, wire::TableNews &news)
 {
     news.set_packed_rows(packed.bytes);
     news.set_packed_from(packed.from);
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -99,13 +99,13 @@
     struct PackedTable
     {
         std::uint64_t version = 0;
-        PackedRows rows;
+        CompressedRows rows;
     };
 
     void asked(std::string_view target, TextServer::Reply reply);
     TextAnswer answer(std::size_t table, std::uint64_t after, std::uint64_t toldMs) const;
     std::string news(std::size_t table, std::uint64_t after, std::uint64_t toldMs) const;
-    static void addPacked(const PackedRows &packed, wire::TableNews &news);
+    static void addPacked(const CompressedRows &packed, wire::TableNews &news);
     void addAllRows(std::size_t table, wire::TableNews &news) const;
     void addEngines(std::uint64_t toldMs, wire::TableNews &news) const;
     static bool fresher(NewsTable table, const NewsState &state, Time then);
--- a/src/include/balsamloft/tableupdate.h
+++ b/src/include/balsamloft/tableupdate.h
@@ -16,7 +16,7 @@
 CallLimits answerLimits(bool whole, Duration wait);
 
 /// Rows, deflated.
-struct PackedRows
+struct CompressedRows
 {
     std::uint32_t from = 0; ///< bytes before they were packed
     std::string bytes;
@@ -24,10 +24,10 @@
 
 /// Whether \a rows are to be packed when they are told.
 bool shouldCompress(std::span<const StoreRow> rows);
-PackedRows packRows(std::span<const StoreRow> rows);
+CompressedRows packRows(std::span<const StoreRow> rows);
 
 /// \return the rows; nothing when \a packed is damaged.
-std::optional<std::vector<StoreRow>> unpackRows(const PackedRows &packed);
+std::optional<std::vector<StoreRow>> unpackRows(const CompressedRows &packed);
 
 /// Bytes that an answer with \a rows takes.
 std::size_t toldBytes(std::span<const StoreRow> rows);
--- a/src/libpeer/tableupdate.cpp
+++ b/src/libpeer/tableupdate.cpp
@@ -56,13 +56,13 @@
     return rows.size() >= FewRows || bytes > FewBytes;
 }
 
-PackedRows packRows(std::span<const StoreRow> rows)
+CompressedRows packRows(std::span<const StoreRow> rows)
 {
     const std::string bytes = listOf(rows).SerializeAsString();
     return {static_cast<std::uint32_t>(bytes.size()), deflated(bytes)};
 }
 
-std::optional<std::vector<StoreRow>> unpackRows(const PackedRows &packed)
+std::optional<std::vector<StoreRow>> unpackRows(const CompressedRows &packed)
 {
     if (packed.from > MostUnpacked)
         return std::nullopt;
