--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -55,7 +55,7 @@
     const TableCopy &copy = m_states[table].copy;
     PackedTable &packed = m_packed[table];
     if (packed.version != copy.version() || packed.rows.bytes.empty())
-        packed = {copy.version(), packRows(copy.all())};
+        packed = {copy.version(), compressRows(copy.all())};
     addPacked(packed.rows, news);
 }
 
@@ -110,7 +110,7 @@
     if (!rows || (shouldCompress(*rows) && state.copy.isFullSnapshot(*rows)))
         addAllRows(table, news);
     else if (shouldCompress(*rows))
-        addPacked(packRows(*rows), news);
+        addPacked(compressRows(*rows), news);
     else
         for (const StoreRow &row : *rows)
             putRow(row, *news.add_rows());
--- a/src/include/balsamloft/tableupdate.h
+++ b/src/include/balsamloft/tableupdate.h
@@ -24,7 +24,7 @@
 
 /// Whether \a rows are to be packed when they are told.
 bool shouldCompress(std::span<const StoreRow> rows);
-CompressedRows packRows(std::span<const StoreRow> rows);
+CompressedRows compressRows(std::span<const StoreRow> rows);
 
 /// \return the rows; nothing when \a packed is damaged.
 std::optional<std::vector<StoreRow>> unpackRows(const CompressedRows &packed);
--- a/src/libpeer/tableupdate.cpp
+++ b/src/libpeer/tableupdate.cpp
@@ -56,7 +56,7 @@
     return rows.size() >= FewRows || bytes > FewBytes;
 }
 
-CompressedRows packRows(std::span<const StoreRow> rows)
+CompressedRows compressRows(std::span<const StoreRow> rows)
 {
     const std::string bytes = listOf(rows).SerializeAsString();
     return {static_cast<std::uint32_t>(bytes.size()), deflated(bytes)};
@@ -82,7 +82,7 @@
 
 std::size_t toldBytes(std::span<const StoreRow> rows)
 {
-    return shouldCompress(rows) ? packRows(rows).bytes.size() : listOf(rows).ByteSizeLong();
+    return shouldCompress(rows) ? compressRows(rows).bytes.size() : listOf(rows).ByteSizeLong();
 }
 
 } // namespace balsamloft
