--- a/src/entry/tablesource.cpp
+++ b/src/entry/tablesource.cpp
@@ -132,7 +132,7 @@
     answer.direct = news.direct();
     m_toldMs = news.told_ms();
     if (!news.packed_rows().empty()) {
-        auto rows = unpackRows({news.packed_from(), news.packed_rows()});
+        auto rows = decompressRows({news.packed_from(), news.packed_rows()});
         if (!rows)
             return {};
         answer.reply.rows = std::move(*rows);
--- a/src/include/balsamloft/tableupdate.h
+++ b/src/include/balsamloft/tableupdate.h
@@ -27,7 +27,7 @@
 CompressedRows compressRows(std::span<const StoreRow> rows);
 
 /// \return the rows; nothing when \a packed is damaged.
-std::optional<std::vector<StoreRow>> unpackRows(const CompressedRows &packed);
+std::optional<std::vector<StoreRow>> decompressRows(const CompressedRows &packed);
 
 /// Bytes that an answer with \a rows takes.
 std::size_t toldBytes(std::span<const StoreRow> rows);
--- a/src/libpeer/tableupdate.cpp
+++ b/src/libpeer/tableupdate.cpp
@@ -62,7 +62,7 @@
     return {static_cast<std::uint32_t>(bytes.size()), deflated(bytes)};
 }
 
-std::optional<std::vector<StoreRow>> unpackRows(const CompressedRows &packed)
+std::optional<std::vector<StoreRow>> decompressRows(const CompressedRows &packed)
 {
     if (packed.from > MostUnpacked)
         return std::nullopt;
