--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -29,7 +29,7 @@
     constexpr double BytesPerMsOfMbps = 125;
     const std::size_t all = settings.domains * settings.instancesPerDomain;
     const std::vector<StoreRow> rows {{"row", settings.row, 1, false}};
-    m_rowBytes = settings.row.empty() ? 0 : toldBytes(rows);
+    m_rowBytes = settings.row.empty() ? 0 : encodedSize(rows);
     m_sending.assign(all, 0);
     for (std::size_t i = 0; i < all; ++i) {
         const std::size_t domain = i % settings.domains;
--- a/src/include/balsamloft/tableupdate.h
+++ b/src/include/balsamloft/tableupdate.h
@@ -30,6 +30,6 @@
 std::optional<std::vector<StoreRow>> decompressRows(const CompressedRows &packed);
 
 /// Bytes that an answer with \a rows takes.
-std::size_t toldBytes(std::span<const StoreRow> rows);
+std::size_t encodedSize(std::span<const StoreRow> rows);
 
 } // namespace balsamloft
--- a/src/libpeer/tableupdate.cpp
+++ b/src/libpeer/tableupdate.cpp
@@ -80,7 +80,7 @@
     return rows;
 }
 
-std::size_t toldBytes(std::span<const StoreRow> rows)
+std::size_t encodedSize(std::span<const StoreRow> rows)
 {
     return shouldCompress(rows) ? compressRows(rows).bytes.size() : listOf(rows).ByteSizeLong();
 }
