--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -54,7 +54,7 @@
     // One that did not answer is not pressed: misses at a usual pace prove its silence.
     const Duration pause =
         asked.misses > 0 ? AskSilentEvery
-                         : askAgainAfter({asked.state.used, asked.usedBefore, roomOf(engine)});
+                         : pollInterval({asked.state.used, asked.usedBefore, roomOf(engine)});
     return now - asked.askedAt >= pause;
 }
 
--- a/src/include/balsamloft/pollschedule.h
+++ b/src/include/balsamloft/pollschedule.h
@@ -17,6 +17,6 @@
 
 /// How long after a report the engine is asked again. One that is filling or filled is
 /// asked more often: whoever sends to it must know before it runs over.
-Duration askAgainAfter(const EngineFilling &filling);
+Duration pollInterval(const EngineFilling &filling);
 
 } // namespace balsamloft
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -554,9 +554,9 @@
 // sending to it and are refused; asked more often while it fills, it is known sooner.
 TEST_CASE("an engine that is filling is asked more often than one that rests")
 {
-    const Duration rests = askAgainAfter({100, 100, 1000});
-    CHECK(askAgainAfter({400, 400, 1000}) < rests / 2);
-    CHECK(askAgainAfter({300, 100, 1000}) < rests / 2);
-    CHECK(askAgainAfter({20, 300, 1000}) < rests / 2); // it may fill again as fast
-    CHECK(askAgainAfter({0, 0, 0}) == rests); // it holds nothing
+    const Duration rests = pollInterval({100, 100, 1000});
+    CHECK(pollInterval({400, 400, 1000}) < rests / 2);
+    CHECK(pollInterval({300, 100, 1000}) < rests / 2);
+    CHECK(pollInterval({20, 300, 1000}) < rests / 2); // it may fill again as fast
+    CHECK(pollInterval({0, 0, 0}) == rests); // it holds nothing
 }
