--- a/src/include/balsamloft/pollschedule.h
+++ b/src/include/balsamloft/pollschedule.h
@@ -8,7 +8,7 @@
 namespace balsamloft {
 
 /// What an engine said of its KV memory, in tokens times layers.
-struct EngineFilling
+struct MemoryUsage
 {
     double used = 0;
     double usedBefore = 0; ///< in the report before
@@ -17,6 +17,6 @@
 
 /// How long after a report the engine is asked again. One that is filling or filled is
 /// asked more often: whoever sends to it must know before it runs over.
-Duration pollInterval(const EngineFilling &filling);
+Duration pollInterval(const MemoryUsage &filling);
 
 } // namespace balsamloft
--- a/src/libbalsamloft/pollschedule.cpp
+++ b/src/libbalsamloft/pollschedule.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-Duration pollInterval(const EngineFilling &filling)
+Duration pollInterval(const MemoryUsage &filling)
 {
     const double moved = std::abs(filling.used - filling.usedBefore);
     const bool soon = filling.used > Filled * filling.room || moved > Moving * filling.room;
