--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-NewsEmulator::NewsEmulator(const NewsSettings &settings)
+PropagationEmulator::PropagationEmulator(const NewsSettings &settings)
     : m_settings(settings)
 {
     constexpr double BytesPerMsOfMbps = 125;
@@ -46,26 +46,26 @@
     }
 }
 
-void NewsEmulator::setStore(StoreMood mood)
+void PropagationEmulator::setStore(StoreMood mood)
 {
     for (Instance &each : m_instances)
         each.mood = mood;
 }
 
-void NewsEmulator::cutDomain(std::size_t domain, bool cut)
+void PropagationEmulator::cutDomain(std::size_t domain, bool cut)
 {
     for (Instance &each : m_instances)
         if (each.domain == domain)
             each.cut = cut;
 }
 
-void NewsEmulator::kill(std::size_t instance)
+void PropagationEmulator::kill(std::size_t instance)
 {
     m_instances[instance].alive = false;
     endQuestion(m_instances[instance]);
 }
 
-void NewsEmulator::start(std::size_t instance, Duration busy)
+void PropagationEmulator::start(std::size_t instance, Duration busy)
 {
     Instance &each = m_instances[instance];
     each.directory = PeerDirectory(each.self.name, each.self.domain);
@@ -80,13 +80,13 @@
     each.nextAt = each.busyUntil;
 }
 
-bool NewsEmulator::reaches(const Instance &from, const Instance &to) const
+bool PropagationEmulator::reaches(const Instance &from, const Instance &to) const
 {
     return to.alive && m_now >= to.busyUntil
            && (from.domain == to.domain || (!from.cut && !to.cut));
 }
 
-std::uint64_t NewsEmulator::versionAt(Time time) const
+std::uint64_t PropagationEmulator::versionAt(Time time) const
 {
     const auto written =
         std::count_if(m_writes.begin(), m_writes.end(), [time](Time at) { return at <= time; });
@@ -95,7 +95,7 @@
     return 1 + static_cast<std::uint64_t>(written + periodic);
 }
 
-void NewsEmulator::run(Duration length)
+void PropagationEmulator::run(Duration length)
 {
     const Time end = m_now + length;
     for (; m_now < end; m_now += Step) {
@@ -116,21 +116,21 @@
     }
 }
 
-void NewsEmulator::noteHindered(Instance &instance) const
+void PropagationEmulator::noteHindered(Instance &instance) const
 {
     if (!instance.alive || instance.cut || m_now < instance.busyUntil)
         instance.hinderedAt = m_now;
 }
 
 /// What arrives at one instance in a step: its own link and its share of the other's.
-double NewsEmulator::shareOf(const Instance &instance) const
+double PropagationEmulator::shareOf(const Instance &instance) const
 {
     const Instance &asked = m_instances[instance.asked];
     const double sent = asked.linkBytesPerMs / static_cast<double>(m_sending[instance.asked]);
     return std::min(sent, instance.linkBytesPerMs) * (static_cast<double>(Step.count()) / 1000);
 }
 
-void NewsEmulator::transfer()
+void PropagationEmulator::transfer()
 {
     for (Instance &each : m_instances)
         if (each.answer && each.answer->bytesLeft > 0 && reaches(each, m_instances[each.asked])) {
@@ -139,7 +139,7 @@
         }
 }
 
-void NewsEmulator::ask(Instance &instance)
+void PropagationEmulator::ask(Instance &instance)
 {
     const Time toldAt = instance.version > 0 ? instance.knownAt : instance.busyUntil;
     const ReadSource from = instance.directory.source(m_now, m_now - toldAt);
@@ -162,12 +162,12 @@
     instance.heldUntil = m_now + waitOf(instance);
 }
 
-Duration NewsEmulator::waitOf(const Instance &instance)
+Duration PropagationEmulator::waitOf(const Instance &instance)
 {
     return instance.version == 0 ? FirstPeerWait : PeerWait;
 }
 
-void NewsEmulator::hearStore(Instance &instance)
+void PropagationEmulator::hearStore(Instance &instance)
 {
     const bool well = !instance.cut && instance.mood == StoreMood::Well;
     if (well && (versionAt(m_now) > instance.version || m_now >= instance.until)) {
@@ -182,7 +182,7 @@
     }
 }
 
-void NewsEmulator::beginAnswer(Instance &instance, const Instance &asked)
+void PropagationEmulator::beginAnswer(Instance &instance, const Instance &asked)
 {
     const bool withRows = m_rowBytes > 0 && asked.version > instance.version;
     instance.answer = Answer {asked.version, asked.knownAt, asked.direct, withRows,
@@ -193,7 +193,7 @@
     m_answersSent += 1;
 }
 
-void NewsEmulator::answered(Instance &instance)
+void PropagationEmulator::answered(Instance &instance)
 {
     const Answer told = *instance.answer;
     const std::string &name = m_instances[instance.asked].self.name;
@@ -205,14 +205,14 @@
     learn(instance, told.version, told.knownAt);
 }
 
-bool NewsEmulator::overdue(const Instance &instance) const
+bool PropagationEmulator::overdue(const Instance &instance) const
 {
     const CallLimits limits = answerLimits(instance.version == 0, waitOf(instance));
     return m_now >= limits.end(instance.askedAt, instance.readAt);
 }
 
 /// Nothing more is taken from the instance that is asked.
-void NewsEmulator::endQuestion(Instance &instance)
+void PropagationEmulator::endQuestion(Instance &instance)
 {
     if (instance.answer && instance.answer->withRows)
         m_sending[instance.asked] -= 1;
@@ -221,7 +221,7 @@
     instance.asking = false;
 }
 
-void NewsEmulator::hear(Instance &instance)
+void PropagationEmulator::hear(Instance &instance)
 {
     if (instance.ofStore)
         return hearStore(instance);
@@ -239,13 +239,13 @@
     }
 }
 
-void NewsEmulator::learn(Instance &instance, std::uint64_t version, Time knownAt)
+void PropagationEmulator::learn(Instance &instance, std::uint64_t version, Time knownAt)
 {
     instance.version = std::max(instance.version, version);
     instance.knownAt = std::max(instance.knownAt, knownAt);
 }
 
-Duration NewsEmulator::oldestAgeInTouch(Duration length) const
+Duration PropagationEmulator::oldestAgeInTouch(Duration length) const
 {
     Duration oldest {};
     if (m_now - m_storeHinderedAt < length)
@@ -256,7 +256,7 @@
     return oldest;
 }
 
-std::size_t NewsEmulator::upToDate() const
+std::size_t PropagationEmulator::upToDate() const
 {
     const std::uint64_t newest = versionAt(m_now);
     const auto current =
@@ -266,7 +266,7 @@
     return static_cast<std::size_t>(current);
 }
 
-std::size_t NewsEmulator::mostAskers() const
+std::size_t PropagationEmulator::mostAskers() const
 {
     std::vector<std::size_t> askers(m_instances.size());
     for (const Instance &each : m_instances)
@@ -275,7 +275,7 @@
     return *std::max_element(askers.begin(), askers.end());
 }
 
-Duration NewsEmulator::oldestAge() const
+Duration PropagationEmulator::oldestAge() const
 {
     Duration oldest {};
     for (const Instance &each : m_instances)
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -30,10 +30,10 @@
 };
 
 /// A fleet whose instances follow one table.
-class NewsEmulator
+class PropagationEmulator
 {
 public:
-    explicit NewsEmulator(const NewsSettings &settings);
+    explicit PropagationEmulator(const NewsSettings &settings);
 
     // Commands
 
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -52,7 +52,7 @@
 }
 
 /// Calls to the store a second in the span.
-double callsPerSecond(NewsEmulator &fleet, Duration length)
+double callsPerSecond(PropagationEmulator &fleet, Duration length)
 {
     const std::uint64_t before = fleet.storeCalls();
     fleet.run(length);
@@ -69,7 +69,7 @@
     const StoreMood mood = GENERATE(StoreMood::Well, StoreMood::Refusing, StoreMood::Silent);
     std::vector<double> rates;
     for (const std::size_t instances : {30U, 100U, 300U, 340U}) {
-        NewsEmulator fleet(fleetOf(instances));
+        PropagationEmulator fleet(fleetOf(instances));
         fleet.run(seconds(3));
         CHECK(fleet.oldestAge() < milliseconds(1'600));
         fleet.setStore(mood);
@@ -91,7 +91,7 @@
         NewsSettings settings;
         settings.domains = 3;
         settings.instancesPerDomain = instances / settings.domains;
-        NewsEmulator fleet(settings);
+        PropagationEmulator fleet(settings);
         fleet.run(seconds(3));
         for (int look = 0; look < 100; ++look) {
             fleet.run(milliseconds(70));
@@ -105,7 +105,7 @@
 // what they know; nobody there hammers a store that cannot be reached.
 TEST_CASE("a domain that is cut off asks the store by its readers only")
 {
-    NewsEmulator fleet(fleetOf(300));
+    PropagationEmulator fleet(fleetOf(300));
     fleet.run(seconds(3));
     fleet.cutDomain(2, true);
     CHECK(callsPerSecond(fleet, seconds(6)) < 40);
@@ -119,7 +119,7 @@
 // seconds later. Those that live are told on, and those that start learn at once.
 TEST_CASE("instances that start again together know all within three seconds")
 {
-    NewsEmulator fleet(fleetOf(300));
+    PropagationEmulator fleet(fleetOf(300));
     fleet.run(seconds(3));
     std::mt19937_64 random(20261203);
     std::vector<std::size_t> dead;
@@ -145,7 +145,7 @@
     constexpr Duration MostBusy {10'000'000};
     std::mt19937_64 random(20261203);
     for (const std::size_t instances : {30U, 100U, 300U, 340U}) {
-        NewsEmulator fleet(fleetOf(instances));
+        PropagationEmulator fleet(fleetOf(instances));
         fleet.run(seconds(1));
         for (std::size_t i = 0; i < fleet.size(); ++i)
             fleet.kill(i);
@@ -166,7 +166,7 @@
         NewsSettings settings;
         settings.domains = 1 + random() % 4;
         settings.instancesPerDomain = 1 + random() % 5;
-        NewsEmulator fleet(settings);
+        PropagationEmulator fleet(settings);
         const auto any = [&] { return static_cast<std::size_t>(random() % fleet.size()); };
         for (int step = 0; step < 12; ++step) {
             const auto mood = static_cast<StoreMood>(random() % 3);
@@ -207,7 +207,7 @@
 TEST_CASE("a large configuration is in force everywhere within two seconds of each change")
 {
     for (const std::size_t instances : {6U, 75U, 295U}) {
-        NewsEmulator fleet(configuredFleet(instances, configurationOf(2'000)));
+        PropagationEmulator fleet(configuredFleet(instances, configurationOf(2'000)));
         fleet.run(seconds(3));
         for (int change = 0; change < 4; ++change) {
             fleet.write();
@@ -227,7 +227,7 @@
     for (std::size_t i = 0; i < UnpackedBytes; ++i)
         row += static_cast<char>(random());
     for (const std::size_t instances : {6U, 75U, 295U}) {
-        NewsEmulator fleet(configuredFleet(instances, row));
+        PropagationEmulator fleet(configuredFleet(instances, row));
         fleet.run(seconds(3));
         fleet.write();
         fleet.run(seconds(12));
@@ -254,7 +254,7 @@
     std::mt19937_64 random(20261203);
     for (const Size &size : sizes) {
         for (int round = 0; round < size.rounds; ++round) {
-            NewsEmulator fleet(configuredFleet(size.instances, configurationOf(200)));
+            PropagationEmulator fleet(configuredFleet(size.instances, configurationOf(200)));
             const auto one = [&] { return static_cast<std::size_t>(random() % fleet.size()); };
             for (int step = 0; step < 200; ++step) {
                 switch (random() % 12) {
@@ -293,7 +293,7 @@
     std::mt19937_64 random(20261203);
     for (const std::size_t instances : {6U, 9U, 75U, 295U})
         for (int round = 0; round < 20; ++round) {
-            NewsEmulator fleet(configuredFleet(instances, configurationOf(200)));
+            PropagationEmulator fleet(configuredFleet(instances, configurationOf(200)));
             fleet.run(seconds(1));
             for (std::size_t i = 0; i < fleet.size(); ++i)
                 if (random() % 3 != 0)
