--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-PropagationEmulator::PropagationEmulator(const NewsSettings &settings)
+PropagationEmulator::PropagationEmulator(const PropagationSettings &settings)
     : m_settings(settings)
 {
     constexpr double BytesPerMsOfMbps = 125;
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -19,7 +19,7 @@
 enum class StoreMood : std::uint8_t { Well, Refusing, Silent };
 
 /// What is emulated.
-struct NewsSettings
+struct PropagationSettings
 {
     std::size_t domains = 5;
     std::size_t instancesPerDomain = 59;
@@ -33,7 +33,7 @@
 class PropagationEmulator
 {
 public:
-    explicit PropagationEmulator(const NewsSettings &settings);
+    explicit PropagationEmulator(const PropagationSettings &settings);
 
     // Commands
 
@@ -133,7 +133,7 @@
     double shareOf(const Instance &instance) const;
     void learn(Instance &instance, std::uint64_t version, Time knownAt);
 
-    NewsSettings m_settings;
+    PropagationSettings m_settings;
     std::vector<Instance> m_instances;
     std::vector<PeerInstance> m_list;
     Time m_begin {std::chrono::hours(1)};
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -15,9 +15,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-NewsSettings fleetOf(std::size_t instances)
+PropagationSettings fleetOf(std::size_t instances)
 {
-    NewsSettings settings;
+    PropagationSettings settings;
     settings.instancesPerDomain = instances / settings.domains;
     return settings;
 }
@@ -41,9 +41,9 @@
 }
 
 /// A fleet of small instances, one wide link in each domain, that follow a configuration.
-NewsSettings configuredFleet(std::size_t instances, std::string row)
+PropagationSettings configuredFleet(std::size_t instances, std::string row)
 {
-    NewsSettings settings;
+    PropagationSettings settings;
     settings.domains = instances < 100 ? 3 : 5;
     settings.instancesPerDomain = instances / settings.domains;
     settings.writeEvery = Duration {};
@@ -88,7 +88,7 @@
 {
     constexpr std::size_t MostAskers = 10;
     for (const std::size_t instances : {30U, 100U, 300U, 340U}) {
-        NewsSettings settings;
+        PropagationSettings settings;
         settings.domains = 3;
         settings.instancesPerDomain = instances / settings.domains;
         PropagationEmulator fleet(settings);
@@ -163,7 +163,7 @@
 {
     std::mt19937_64 random(20261203);
     for (int round = 0; round < 100'000; ++round) {
-        NewsSettings settings;
+        PropagationSettings settings;
         settings.domains = 1 + random() % 4;
         settings.instancesPerDomain = 1 + random() % 5;
         PropagationEmulator fleet(settings);
