--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -46,7 +46,7 @@
     }
 }
 
-void PropagationEmulator::setStore(StoreMood mood)
+void PropagationEmulator::setStore(StoreBehavior mood)
 {
     for (Instance &each : m_instances)
         each.mood = mood;
@@ -102,7 +102,7 @@
         transfer();
         for (Instance &each : m_instances) {
             noteHindered(each);
-            if (each.mood != StoreMood::Well)
+            if (each.mood != StoreBehavior::Well)
                 m_storeHinderedAt = m_now;
             if (!each.alive)
                 continue;
@@ -152,7 +152,7 @@
     instance.askedAt = m_now;
     if (instance.ofStore) {
         m_storeCalls += 1;
-        const bool silent = instance.cut || instance.mood == StoreMood::Silent;
+        const bool silent = instance.cut || instance.mood == StoreBehavior::Silent;
         instance.until = m_now + (silent ? StoreLimit : from.atOnce ? Step : StoreWait);
         return;
     }
@@ -169,13 +169,13 @@
 
 void PropagationEmulator::hearStore(Instance &instance)
 {
-    const bool well = !instance.cut && instance.mood == StoreMood::Well;
+    const bool well = !instance.cut && instance.mood == StoreBehavior::Well;
     if (well && (versionAt(m_now) > instance.version || m_now >= instance.until)) {
         instance.asking = false;
         instance.direct = true;
         instance.directory.storeAnswered();
         learn(instance, versionAt(m_now), m_now);
-    } else if (!well && (instance.mood == StoreMood::Refusing || m_now >= instance.until)) {
+    } else if (!well && (instance.mood == StoreBehavior::Refusing || m_now >= instance.until)) {
         instance.asking = false;
         instance.direct = false;
         instance.directory.storeFailed(m_now);
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -16,7 +16,7 @@
 namespace balsamloft::fakes {
 
 /// How the store treats an instance.
-enum class StoreMood : std::uint8_t { Well, Refusing, Silent };
+enum class StoreBehavior : std::uint8_t { Well, Refusing, Silent };
 
 /// What is emulated.
 struct PropagationSettings
@@ -38,13 +38,13 @@
     // Commands
 
     void run(Duration length);
-    void setStore(StoreMood mood);
+    void setStore(StoreBehavior mood);
 
     /// Something is written to the store, besides what is written at intervals.
     void write() { m_writes.push_back(m_now); }
 
     /// For one instance alone.
-    void setStore(std::size_t instance, StoreMood mood) { m_instances[instance].mood = mood; }
+    void setStore(std::size_t instance, StoreBehavior mood) { m_instances[instance].mood = mood; }
 
     /// Instances of a domain reach each other only, or all again.
     void cutDomain(std::size_t domain, bool cut);
@@ -101,7 +101,7 @@
         Time busyUntil {};
         Time hinderedAt {}; ///< last
         bool cut = false;
-        StoreMood mood = StoreMood::Well;
+        StoreBehavior mood = StoreBehavior::Well;
         std::uint64_t version = 0; ///< of the store, as known
         Time knownAt {};
         bool direct = false; ///< had it from the store, which still answers
