--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -102,7 +102,7 @@
         transfer();
         for (Instance &each : m_instances) {
             noteHindered(each);
-            if (each.mood != StoreBehavior::Well)
+            if (each.mood != StoreBehavior::Healthy)
                 m_storeHinderedAt = m_now;
             if (!each.alive)
                 continue;
@@ -169,7 +169,7 @@
 
 void PropagationEmulator::hearStore(Instance &instance)
 {
-    const bool well = !instance.cut && instance.mood == StoreBehavior::Well;
+    const bool well = !instance.cut && instance.mood == StoreBehavior::Healthy;
     if (well && (versionAt(m_now) > instance.version || m_now >= instance.until)) {
         instance.asking = false;
         instance.direct = true;
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -16,7 +16,7 @@
 namespace balsamloft::fakes {
 
 /// How the store treats an instance.
-enum class StoreBehavior : std::uint8_t { Well, Refusing, Silent };
+enum class StoreBehavior : std::uint8_t { Healthy, Refusing, Silent };
 
 /// What is emulated.
 struct PropagationSettings
@@ -101,7 +101,7 @@
         Time busyUntil {};
         Time hinderedAt {}; ///< last
         bool cut = false;
-        StoreBehavior mood = StoreBehavior::Well;
+        StoreBehavior mood = StoreBehavior::Healthy;
         std::uint64_t version = 0; ///< of the store, as known
         Time knownAt {};
         bool direct = false; ///< had it from the store, which still answers
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -66,7 +66,7 @@
 // does not grow with the fleet, and all know of its return within two seconds.
 TEST_CASE("the store's calls do not grow with the number of instances")
 {
-    const StoreBehavior mood = GENERATE(StoreBehavior::Well, StoreBehavior::Refusing, StoreBehavior::Silent);
+    const StoreBehavior mood = GENERATE(StoreBehavior::Healthy, StoreBehavior::Refusing, StoreBehavior::Silent);
     std::vector<double> rates;
     for (const std::size_t instances : {30U, 100U, 300U, 340U}) {
         PropagationEmulator fleet(fleetOf(instances));
@@ -74,13 +74,13 @@
         CHECK(fleet.oldestAge() < milliseconds(1'600));
         fleet.setStore(mood);
         rates.push_back(callsPerSecond(fleet, seconds(10)));
-        fleet.setStore(StoreBehavior::Well);
+        fleet.setStore(StoreBehavior::Healthy);
         fleet.run(milliseconds(3'500));
         CHECK(fleet.oldestAge() < milliseconds(1'600));
         CHECK(fleet.liars() == 0);
     }
     CHECK(rates.back() <= rates.front() * 1.2);
-    CHECK(rates.back() < (mood == StoreBehavior::Well ? 30 : 20));
+    CHECK(rates.back() < (mood == StoreBehavior::Healthy ? 30 : 20));
 }
 
 // Guards against a reader that tells a whole domain, and whose link is too small for it.
@@ -193,7 +193,7 @@
         }
         REQUIRE(fleet.liars() == 0);
         // Once all is well again, all learn of it.
-        fleet.setStore(StoreBehavior::Well);
+        fleet.setStore(StoreBehavior::Healthy);
         for (std::size_t domain = 0; domain < settings.domains; ++domain)
             fleet.cutDomain(domain, false);
         for (std::size_t i = 0; i < fleet.size(); ++i)
