--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -46,10 +46,10 @@
     }
 }
 
-void PropagationEmulator::setStore(StoreBehavior mood)
+void PropagationEmulator::setStore(StoreBehavior behavior)
 {
     for (Instance &each : m_instances)
-        each.mood = mood;
+        each.behavior = behavior;
 }
 
 void PropagationEmulator::cutDomain(std::size_t domain, bool cut)
@@ -102,7 +102,7 @@
         transfer();
         for (Instance &each : m_instances) {
             noteHindered(each);
-            if (each.mood != StoreBehavior::Healthy)
+            if (each.behavior != StoreBehavior::Healthy)
                 m_storeHinderedAt = m_now;
             if (!each.alive)
                 continue;
@@ -152,7 +152,7 @@
     instance.askedAt = m_now;
     if (instance.ofStore) {
         m_storeCalls += 1;
-        const bool silent = instance.cut || instance.mood == StoreBehavior::Silent;
+        const bool silent = instance.cut || instance.behavior == StoreBehavior::Silent;
         instance.until = m_now + (silent ? StoreLimit : from.atOnce ? Step : StoreWait);
         return;
     }
@@ -169,13 +169,13 @@
 
 void PropagationEmulator::hearStore(Instance &instance)
 {
-    const bool well = !instance.cut && instance.mood == StoreBehavior::Healthy;
+    const bool well = !instance.cut && instance.behavior == StoreBehavior::Healthy;
     if (well && (versionAt(m_now) > instance.version || m_now >= instance.until)) {
         instance.asking = false;
         instance.direct = true;
         instance.directory.storeAnswered();
         learn(instance, versionAt(m_now), m_now);
-    } else if (!well && (instance.mood == StoreBehavior::Refusing || m_now >= instance.until)) {
+    } else if (!well && (instance.behavior == StoreBehavior::Refusing || m_now >= instance.until)) {
         instance.asking = false;
         instance.direct = false;
         instance.directory.storeFailed(m_now);
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -38,13 +38,13 @@
     // Commands
 
     void run(Duration length);
-    void setStore(StoreBehavior mood);
+    void setStore(StoreBehavior behavior);
 
     /// Something is written to the store, besides what is written at intervals.
     void write() { m_writes.push_back(m_now); }
 
     /// For one instance alone.
-    void setStore(std::size_t instance, StoreBehavior mood) { m_instances[instance].mood = mood; }
+    void setStore(std::size_t instance, StoreBehavior behavior) { m_instances[instance].behavior = behavior; }
 
     /// Instances of a domain reach each other only, or all again.
     void cutDomain(std::size_t domain, bool cut);
@@ -101,7 +101,7 @@
         Time busyUntil {};
         Time hinderedAt {}; ///< last
         bool cut = false;
-        StoreBehavior mood = StoreBehavior::Healthy;
+        StoreBehavior behavior = StoreBehavior::Healthy;
         std::uint64_t version = 0; ///< of the store, as known
         Time knownAt {};
         bool direct = false; ///< had it from the store, which still answers
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -66,13 +66,13 @@
 // does not grow with the fleet, and all know of its return within two seconds.
 TEST_CASE("the store's calls do not grow with the number of instances")
 {
-    const StoreBehavior mood = GENERATE(StoreBehavior::Healthy, StoreBehavior::Refusing, StoreBehavior::Silent);
+    const StoreBehavior behavior = GENERATE(StoreBehavior::Healthy, StoreBehavior::Refusing, StoreBehavior::Silent);
     std::vector<double> rates;
     for (const std::size_t instances : {30U, 100U, 300U, 340U}) {
         PropagationEmulator fleet(fleetOf(instances));
         fleet.run(seconds(3));
         CHECK(fleet.oldestAge() < milliseconds(1'600));
-        fleet.setStore(mood);
+        fleet.setStore(behavior);
         rates.push_back(callsPerSecond(fleet, seconds(10)));
         fleet.setStore(StoreBehavior::Healthy);
         fleet.run(milliseconds(3'500));
@@ -80,7 +80,7 @@
         CHECK(fleet.liars() == 0);
     }
     CHECK(rates.back() <= rates.front() * 1.2);
-    CHECK(rates.back() < (mood == StoreBehavior::Healthy ? 30 : 20));
+    CHECK(rates.back() < (behavior == StoreBehavior::Healthy ? 30 : 20));
 }
 
 // Guards against a reader that tells a whole domain, and whose link is too small for it.
@@ -169,13 +169,13 @@
         PropagationEmulator fleet(settings);
         const auto any = [&] { return static_cast<std::size_t>(random() % fleet.size()); };
         for (int step = 0; step < 12; ++step) {
-            const auto mood = static_cast<StoreBehavior>(random() % 3);
+            const auto behavior = static_cast<StoreBehavior>(random() % 3);
             switch (random() % 6) {
             case 0:
-                fleet.setStore(mood);
+                fleet.setStore(behavior);
                 break;
             case 1:
-                fleet.setStore(any(), mood);
+                fleet.setStore(any(), behavior);
                 break;
             case 2:
                 fleet.cutDomain(random() % settings.domains, random() % 2 == 0);
