--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -79,7 +79,7 @@
     std::uint64_t answersSent() const { return m_answersSent; }
 
     /// Instances that took their knowledge for newer than it was, ever.
-    std::uint64_t liars() const { return m_liars; }
+    std::uint64_t freshnessViolations() const { return m_liars; }
 
 private:
     /// What one instance tells another.
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -77,7 +77,7 @@
         fleet.setStore(StoreBehavior::Healthy);
         fleet.run(milliseconds(3'500));
         CHECK(fleet.oldestAge() < milliseconds(1'600));
-        CHECK(fleet.liars() == 0);
+        CHECK(fleet.freshnessViolations() == 0);
     }
     CHECK(rates.back() <= rates.front() * 1.2);
     CHECK(rates.back() < (behavior == StoreBehavior::Healthy ? 30 : 20));
@@ -191,7 +191,7 @@
             }
             fleet.run(Duration(static_cast<std::int64_t>(random() % 900'000)));
         }
-        REQUIRE(fleet.liars() == 0);
+        REQUIRE(fleet.freshnessViolations() == 0);
         // Once all is well again, all learn of it.
         fleet.setStore(StoreBehavior::Healthy);
         for (std::size_t domain = 0; domain < settings.domains; ++domain)
