--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -111,7 +111,7 @@
             else if (m_now >= each.nextAt)
                 ask(each);
             if (each.version > 0 && each.version < versionAt(each.knownAt))
-                m_liars += 1;
+                m_freshnessViolations += 1;
         }
     }
 }
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -79,7 +79,7 @@
     std::uint64_t answersSent() const { return m_answersSent; }
 
     /// Instances that took their knowledge for newer than it was, ever.
-    std::uint64_t freshnessViolations() const { return m_liars; }
+    std::uint64_t freshnessViolations() const { return m_freshnessViolations; }
 
 private:
     /// What one instance tells another.
@@ -144,7 +144,7 @@
     std::vector<std::size_t> m_sending; ///< answers that each instance sends now
     std::uint64_t m_answersSent = 0;
     std::uint64_t m_storeCalls = 0;
-    std::uint64_t m_liars = 0;
+    std::uint64_t m_freshnessViolations = 0;
 };
 
 } // namespace balsamloft::fakes
