--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -266,7 +266,7 @@
     return static_cast<std::size_t>(current);
 }
 
-std::size_t PropagationEmulator::mostAskers() const
+std::size_t PropagationEmulator::maxQueriersPerInstance() const
 {
     std::vector<std::size_t> askers(m_instances.size());
     for (const Instance &each : m_instances)
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -64,7 +64,7 @@
     Duration oldestAge() const;
 
     /// Of the instances, the most that ask one and the same instance now.
-    std::size_t mostAskers() const;
+    std::size_t maxQueriersPerInstance() const;
 
     /// The oldest knowledge of those that know something and were in touch for \a length:
     /// neither they were dead, slow or cut off, nor did the store fail anyone.
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -95,7 +95,7 @@
         fleet.run(seconds(3));
         for (int look = 0; look < 100; ++look) {
             fleet.run(milliseconds(70));
-            REQUIRE(fleet.mostAskers() <= MostAskers);
+            REQUIRE(fleet.maxQueriersPerInstance() <= MostAskers);
         }
         CHECK(fleet.oldestAge() < milliseconds(1'600));
     }
