--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -245,7 +245,7 @@
     instance.knownAt = std::max(instance.knownAt, knownAt);
 }
 
-Duration PropagationEmulator::oldestAgeInTouch(Duration length) const
+Duration PropagationEmulator::oldestConnectedAge(Duration length) const
 {
     Duration oldest {};
     if (m_now - m_storeHinderedAt < length)
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -68,7 +68,7 @@
 
     /// The oldest knowledge of those that know something and were in touch for \a length:
     /// neither they were dead, slow or cut off, nor did the store fail anyone.
-    Duration oldestAgeInTouch(Duration length) const;
+    Duration oldestConnectedAge(Duration length) const;
 
     bool knows(std::size_t instance) const { return m_instances[instance].version > 0; }
 
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -281,7 +281,7 @@
                 }
                 fleet.run(milliseconds(50));
                 CAPTURE(size.instances, round, step);
-                REQUIRE(fleet.oldestAgeInTouch(size.contact) <= size.most);
+                REQUIRE(fleet.oldestConnectedAge(size.contact) <= size.most);
             }
         }
     }
