--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -256,7 +256,7 @@
     return oldest;
 }
 
-std::size_t PropagationEmulator::upToDate() const
+std::size_t PropagationEmulator::upToDateCount() const
 {
     const std::uint64_t newest = versionAt(m_now);
     const auto current =
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -73,7 +73,7 @@
     bool knows(std::size_t instance) const { return m_instances[instance].version > 0; }
 
     /// Instances that know all that was written.
-    std::size_t upToDate() const;
+    std::size_t upToDateCount() const;
 
     /// Answers with rows that instances began to send each other, ever.
     std::uint64_t answersSent() const { return m_answersSent; }
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -213,7 +213,7 @@
             fleet.write();
             fleet.run(seconds(2));
             CAPTURE(instances, change);
-            CHECK(fleet.upToDate() == fleet.size());
+            CHECK(fleet.upToDateCount() == fleet.size());
         }
     }
 }
@@ -231,7 +231,7 @@
         fleet.run(seconds(3));
         fleet.write();
         fleet.run(seconds(12));
-        CHECK(fleet.upToDate() == fleet.size());
+        CHECK(fleet.upToDateCount() == fleet.size());
         CHECK(static_cast<double>(fleet.answersSent()) <= 1.1 * static_cast<double>(instances));
     }
 }
