--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -52,7 +52,7 @@
         each.behavior = behavior;
 }
 
-void PropagationEmulator::cutDomain(std::size_t domain, bool cut)
+void PropagationEmulator::partitionDomain(std::size_t domain, bool cut)
 {
     for (Instance &each : m_instances)
         if (each.domain == domain)
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -47,7 +47,7 @@
     void setStore(std::size_t instance, StoreBehavior behavior) { m_instances[instance].behavior = behavior; }
 
     /// Instances of a domain reach each other only, or all again.
-    void cutDomain(std::size_t domain, bool cut);
+    void partitionDomain(std::size_t domain, bool cut);
     void kill(std::size_t instance);
 
     /// A process that died begins anew; it knows nobody until it has read the list. For
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -107,10 +107,10 @@
 {
     PropagationEmulator fleet(fleetOf(300));
     fleet.run(seconds(3));
-    fleet.cutDomain(2, true);
+    fleet.partitionDomain(2, true);
     CHECK(callsPerSecond(fleet, seconds(6)) < 40);
     CHECK(fleet.oldestAge() < milliseconds(1'600));
-    fleet.cutDomain(2, false);
+    fleet.partitionDomain(2, false);
     fleet.run(seconds(4));
     CHECK(fleet.oldestAge() < milliseconds(1'600));
 }
@@ -178,7 +178,7 @@
                 fleet.setStore(any(), behavior);
                 break;
             case 2:
-                fleet.cutDomain(random() % settings.domains, random() % 2 == 0);
+                fleet.partitionDomain(random() % settings.domains, random() % 2 == 0);
                 break;
             case 3:
                 fleet.kill(any());
@@ -195,7 +195,7 @@
         // Once all is well again, all learn of it.
         fleet.setStore(StoreBehavior::Healthy);
         for (std::size_t domain = 0; domain < settings.domains; ++domain)
-            fleet.cutDomain(domain, false);
+            fleet.partitionDomain(domain, false);
         for (std::size_t i = 0; i < fleet.size(); ++i)
             fleet.start(i);
         fleet.run(seconds(4));
@@ -265,7 +265,7 @@
                     fleet.start(one(), Duration(random() % 2'000'000));
                     break;
                 case 2:
-                    fleet.cutDomain(random() % 3, random() % 3 == 0);
+                    fleet.partitionDomain(random() % 3, random() % 3 == 0);
                     break;
                 case 3:
                     if (random() % 10 == 0)
