--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -167,7 +167,7 @@
     return instance.version == 0 ? FirstPeerWait : PeerWait;
 }
 
-void PropagationEmulator::hearStore(Instance &instance)
+void PropagationEmulator::pollStore(Instance &instance)
 {
     const bool well = !instance.cut && instance.behavior == StoreBehavior::Healthy;
     if (well && (versionAt(m_now) > instance.version || m_now >= instance.until)) {
@@ -224,7 +224,7 @@
 void PropagationEmulator::hear(Instance &instance)
 {
     if (instance.ofStore)
-        return hearStore(instance);
+        return pollStore(instance);
     const Instance &asked = m_instances[instance.asked];
     if (reaches(instance, asked)) {
         const bool news = asked.version > instance.version || asked.knownAt > instance.askedKnewAt;
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -122,7 +122,7 @@
     std::uint64_t versionAt(Time time) const;
     void ask(Instance &instance);
     void hear(Instance &instance);
-    void hearStore(Instance &instance);
+    void pollStore(Instance &instance);
     void beginAnswer(Instance &instance, const Instance &asked);
     void answered(Instance &instance);
     bool overdue(const Instance &instance) const;
