--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -62,7 +62,7 @@
 void PropagationEmulator::kill(std::size_t instance)
 {
     m_instances[instance].alive = false;
-    endQuestion(m_instances[instance]);
+    endQuery(m_instances[instance]);
 }
 
 void PropagationEmulator::start(std::size_t instance, Duration busy)
@@ -72,7 +72,7 @@
     each.directory.replace(m_list);
     m_storeCalls += 1; // for the list of instances
     each.alive = true;
-    endQuestion(each);
+    endQuery(each);
     each.direct = false;
     each.version = 0;
     each.knownAt = m_begin;
@@ -197,7 +197,7 @@
 {
     const Answer told = *instance.answer;
     const std::string &name = m_instances[instance.asked].self.name;
-    endQuestion(instance);
+    endQuery(instance);
     if (told.version == 0)
         return instance.directory.behind(name, m_now);
     instance.direct = false;
@@ -212,7 +212,7 @@
 }
 
 /// Nothing more is taken from the instance that is asked.
-void PropagationEmulator::endQuestion(Instance &instance)
+void PropagationEmulator::endQuery(Instance &instance)
 {
     if (instance.answer && instance.answer->withRows)
         m_sending[instance.asked] -= 1;
@@ -234,7 +234,7 @@
             return answered(instance);
     }
     if (overdue(instance)) {
-        endQuestion(instance);
+        endQuery(instance);
         instance.directory.silent(asked.self.name, m_now);
     }
 }
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -126,7 +126,7 @@
     void beginAnswer(Instance &instance, const Instance &asked);
     void answered(Instance &instance);
     bool overdue(const Instance &instance) const;
-    void endQuestion(Instance &instance);
+    void endQuery(Instance &instance);
     void noteHindered(Instance &instance) const;
     void transfer();
     static Duration waitOf(const Instance &instance);
