--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -182,7 +182,7 @@
     }
 }
 
-void PropagationEmulator::beginAnswer(Instance &instance, const Instance &asked)
+void PropagationEmulator::startAnswer(Instance &instance, const Instance &asked)
 {
     const bool withRows = m_rowBytes > 0 && asked.version > instance.version;
     instance.answer = Answer {asked.version, asked.knownAt, asked.direct, withRows,
@@ -229,7 +229,7 @@
     if (reaches(instance, asked)) {
         const bool news = asked.version > instance.version || asked.knownAt > instance.askedKnewAt;
         if (!instance.answer && (news || m_now >= instance.heldUntil))
-            beginAnswer(instance, asked);
+            startAnswer(instance, asked);
         if (instance.answer && instance.answer->bytesLeft <= 0)
             return answered(instance);
     }
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -123,7 +123,7 @@
     void ask(Instance &instance);
     void hear(Instance &instance);
     void pollStore(Instance &instance);
-    void beginAnswer(Instance &instance, const Instance &asked);
+    void startAnswer(Instance &instance, const Instance &asked);
     void answered(Instance &instance);
     bool overdue(const Instance &instance) const;
     void endQuery(Instance &instance);
