--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -119,7 +119,7 @@
 void PropagationEmulator::noteHindered(Instance &instance) const
 {
     if (!instance.alive || instance.cut || m_now < instance.busyUntil)
-        instance.hinderedAt = m_now;
+        instance.impairedAt = m_now;
 }
 
 /// What arrives at one instance in a step: its own link and its share of the other's.
@@ -251,7 +251,7 @@
     if (m_now - m_storeHinderedAt < length)
         return oldest;
     for (const Instance &each : m_instances)
-        if (each.version > 0 && m_now - each.hinderedAt >= length)
+        if (each.version > 0 && m_now - each.impairedAt >= length)
             oldest = std::max(oldest, m_now - each.knownAt);
     return oldest;
 }
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -99,7 +99,7 @@
         PeerDirectory directory;
         bool alive = true;
         Time busyUntil {};
-        Time hinderedAt {}; ///< last
+        Time impairedAt {}; ///< last
         bool cut = false;
         StoreBehavior behavior = StoreBehavior::Healthy;
         std::uint64_t version = 0; ///< of the store, as known
