--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -101,7 +101,7 @@
     for (; m_now < end; m_now += Step) {
         transfer();
         for (Instance &each : m_instances) {
-            noteHindered(each);
+            recordImpairment(each);
             if (each.behavior != StoreBehavior::Healthy)
                 m_storeHinderedAt = m_now;
             if (!each.alive)
@@ -116,7 +116,7 @@
     }
 }
 
-void PropagationEmulator::noteHindered(Instance &instance) const
+void PropagationEmulator::recordImpairment(Instance &instance) const
 {
     if (!instance.alive || instance.cut || m_now < instance.busyUntil)
         instance.impairedAt = m_now;
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -127,7 +127,7 @@
     void answered(Instance &instance);
     bool overdue(const Instance &instance) const;
     void endQuery(Instance &instance);
-    void noteHindered(Instance &instance) const;
+    void recordImpairment(Instance &instance) const;
     void transfer();
     static Duration waitOf(const Instance &instance);
     double shareOf(const Instance &instance) const;
