--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -103,7 +103,7 @@
         for (Instance &each : m_instances) {
             recordImpairment(each);
             if (each.behavior != StoreBehavior::Healthy)
-                m_storeHinderedAt = m_now;
+                m_storeImpairedAt = m_now;
             if (!each.alive)
                 continue;
             if (each.asking)
@@ -248,7 +248,7 @@
 Duration PropagationEmulator::oldestConnectedAge(Duration length) const
 {
     Duration oldest {};
-    if (m_now - m_storeHinderedAt < length)
+    if (m_now - m_storeImpairedAt < length)
         return oldest;
     for (const Instance &each : m_instances)
         if (each.version > 0 && m_now - each.impairedAt >= length)
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -139,7 +139,7 @@
     Time m_begin {std::chrono::hours(1)};
     Time m_now = m_begin;
     std::vector<Time> m_writes;
-    Time m_storeHinderedAt {}; ///< for any instance, last
+    Time m_storeImpairedAt {}; ///< for any instance, last
     std::size_t m_rowBytes = 0; ///< as told
     std::vector<std::size_t> m_sending; ///< answers that each instance sends now
     std::uint64_t m_answersSent = 0;
