--- a/src/balsamloftd/adminserver.cpp
+++ b/src/balsamloftd/adminserver.cpp
@@ -224,7 +224,7 @@
 
 void AdminServer::showConfig(const HttpExchangePtr &exchange)
 {
-    const ConfigKeeper &keeper = m_control.configuration();
+    const ConfigManager &keeper = m_control.configuration();
     const std::string_view wanted = query(exchange, "version");
     const auto version = wanted.empty() ? keeper.head().version : number(wanted);
     const auto entries = version ? keeper.entriesAt(*version) : std::nullopt;
@@ -327,7 +327,7 @@
 
 void AdminServer::diff(const HttpExchangePtr &exchange)
 {
-    const ConfigKeeper &keeper = m_control.configuration();
+    const ConfigManager &keeper = m_control.configuration();
     const auto from = number(query(exchange, "from"));
     const auto to = number(query(exchange, "to")).value_or(keeper.head().version);
     const auto before = from ? keeper.entriesAt(*from) : std::nullopt;
@@ -361,7 +361,7 @@
 
 void AdminServer::status(const HttpExchangePtr &exchange)
 {
-    const ConfigKeeper &keeper = m_control.configuration();
+    const ConfigManager &keeper = m_control.configuration();
     respond(exchange, http::status::ok,
             {{"instance", m_control.settings().name},
              {"domain", m_control.settings().domain},
--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -49,7 +49,7 @@
     // On the control thread, for the admin server
 
     void propose(ConfigProposal proposal, std::function<void(ProposalOutcome)> callback);
-    const ConfigKeeper &configuration() const { return m_config; }
+    const ConfigManager &configuration() const { return m_config; }
     const Membership &membership() const { return m_membership; }
     const LeaseKeeper &lease() const { return m_lease; }
     std::vector<std::string> explainPlacement() const { return m_placement.explain(); }
@@ -109,7 +109,7 @@
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
     boost::asio::steady_timer m_timer;
     std::unique_ptr<Platform> m_platform;
-    ConfigKeeper m_config;
+    ConfigManager m_config;
     ClaimManager m_claims;
     PeerSocket m_peers;
     Membership m_membership;
--- a/src/fakes/controlharness.cpp
+++ b/src/fakes/controlharness.cpp
@@ -34,7 +34,7 @@
     membership.incarnation = static_cast<std::uint64_t>(m_now.time_since_epoch().count());
     for (std::size_t i = 0; i < SeedCount && index > 0; ++i)
         membership.seeds.push_back(m_nodes[m_random() % index].address);
-    m_nodes.push_back({name, address, ConfigKeeper(m_settings.config, m_random()),
+    m_nodes.push_back({name, address, ConfigManager(m_settings.config, m_random()),
                        Membership(membership, m_random())});
     start(index);
     return index;
@@ -178,7 +178,7 @@
     for (ConfigAction &action : actions) {
         if (const auto *read = std::get_if<ReadConfigHead>(&action)) {
             ++node.platformReads;
-            answer([this, index, id = read->id](ConfigKeeper &keeper, ConfigActions &next) {
+            answer([this, index, id = read->id](ConfigManager &keeper, ConfigActions &next) {
                 ReadOutcome outcome;
                 if (reachable(index))
                     outcome = m_tables.read(std::string(ConfigTable), std::string(HeadKey));
@@ -186,7 +186,7 @@
             });
         } else if (const auto *scan = std::get_if<ScanConfigChanges>(&action)) {
             ++node.platformReads;
-            answer([this, index, scan = *scan](ConfigKeeper &keeper, ConfigActions &next) {
+            answer([this, index, scan = *scan](ConfigManager &keeper, ConfigActions &next) {
                 ScanOutcome outcome;
                 if (reachable(index))
                     outcome =
@@ -194,7 +194,7 @@
                 keeper.changesScanned(scan.id, outcome, m_now, next);
             });
         } else if (const auto *whole = std::get_if<ReadConfigSnapshot>(&action)) {
-            answer([this, index, id = whole->id](ConfigKeeper &keeper, ConfigActions &next) {
+            answer([this, index, id = whole->id](ConfigManager &keeper, ConfigActions &next) {
                 std::optional<std::string> content;
                 if (reachable(index) && m_objects.contains(std::string(SnapshotObject)))
                     content = m_objects[std::string(SnapshotObject)];
@@ -207,7 +207,7 @@
             send(index, ask->peer,
                  makeConfigRequest(node.config, node.membership.self(), ask->after));
         } else if (auto *commit = std::get_if<CommitConfig>(&action)) {
-            answer([this, index, commit = *commit](ConfigKeeper &keeper, ConfigActions &next) {
+            answer([this, index, commit = *commit](ConfigManager &keeper, ConfigActions &next) {
                 TransactionOutcome outcome {TransactionOutcome::Kind::NotCommitted, {}};
                 if (reachable(index))
                     outcome = m_tables.transact(commit.transaction);
--- a/src/fakes/controlharness.h
+++ b/src/fakes/controlharness.h
@@ -34,7 +34,7 @@
 {
     std::string name;
     std::string address;
-    ConfigKeeper config;
+    ConfigManager config;
     Membership membership;
     bool alive = true;
     bool platformReachable = true;
--- a/src/include/balsamloft/configmanager.h
+++ b/src/include/balsamloft/configmanager.h
@@ -13,7 +13,7 @@
 
 namespace balsamloft {
 
-/// Settings of a ConfigKeeper.
+/// Settings of a ConfigManager.
 struct ConfigKeeperSettings
 {
     Duration pollInterval {5'000'000};
@@ -70,7 +70,7 @@
 std::string toJson(const ConfigSnapshot &snapshot);
 std::optional<ConfigSnapshot> snapshotFromJson(std::string_view text, Reason &reason);
 
-// Actions of a ConfigKeeper. Answers come back with the same id.
+// Actions of a ConfigManager. Answers come back with the same id.
 
 struct ReadConfigHead
 {
@@ -127,10 +127,10 @@
 /// Holds the newest configuration known, learns newer ones from the platform
 /// and from peers, and commits proposals. The version held only ever rises,
 /// and each step is checked against the chained digest.
-class ConfigKeeper
+class ConfigManager
 {
 public:
-    ConfigKeeper(ConfigKeeperSettings settings, std::uint64_t seed);
+    ConfigManager(ConfigKeeperSettings settings, std::uint64_t seed);
 
     // Commands
 
--- a/src/libbalsamloft/configexchange.cpp
+++ b/src/libbalsamloft/configexchange.cpp
@@ -8,7 +8,7 @@
 
 } // namespace
 
-PeerMessage makeConfigRequest(const ConfigKeeper &keeper, const MemberNews &self,
+PeerMessage makeConfigRequest(const ConfigManager &keeper, const MemberNews &self,
                               std::uint64_t after)
 {
     PeerMessage request;
@@ -19,7 +19,7 @@
     return request;
 }
 
-PeerMessage makeConfigAnswer(const ConfigKeeper &keeper, const MemberNews &self,
+PeerMessage makeConfigAnswer(const ConfigManager &keeper, const MemberNews &self,
                              std::uint64_t after)
 {
     PeerMessage answer;
@@ -37,7 +37,7 @@
     return answer;
 }
 
-void takeConfigAnswer(ConfigKeeper &keeper, const PeerMessage &answer, Time now,
+void takeConfigAnswer(ConfigManager &keeper, const PeerMessage &answer, Time now,
                       ConfigActions &actions)
 {
     Reason reason;
--- a/src/libbalsamloft/configmanager.cpp
+++ b/src/libbalsamloft/configmanager.cpp
@@ -58,14 +58,14 @@
     return snapshot;
 }
 
-ConfigKeeper::ConfigKeeper(ConfigKeeperSettings settings, std::uint64_t seed)
+ConfigManager::ConfigManager(ConfigKeeperSettings settings, std::uint64_t seed)
     : m_settings(settings)
     , m_random(static_cast<std::minstd_rand::result_type>(seed))
     , m_nextPoll(Time {})
 {
 }
 
-void ConfigKeeper::tick(Time now, ConfigActions &actions)
+void ConfigManager::tick(Time now, ConfigActions &actions)
 {
     if (m_nextPoll && *m_nextPoll > now)
         return;
@@ -77,12 +77,12 @@
     actions.push_back(ReadConfigHead {m_headReadId});
 }
 
-void ConfigKeeper::pollSoon(Time now)
+void ConfigManager::pollSoon(Time now)
 {
     m_nextPoll = std::min(m_nextPoll.value_or(now), now + m_settings.retryDelay);
 }
 
-void ConfigKeeper::headRead(std::uint64_t id, const ReadOutcome &outcome, Time now,
+void ConfigManager::headRead(std::uint64_t id, const ReadOutcome &outcome, Time now,
                             ConfigActions &actions)
 {
     if (id != m_headReadId)
@@ -107,7 +107,7 @@
     }
 }
 
-void ConfigKeeper::fetchFrom(std::uint64_t newest, ConfigActions &actions)
+void ConfigManager::fetchFrom(std::uint64_t newest, ConfigActions &actions)
 {
     if (newest - m_head.version > m_settings.snapshotLag && !m_snapshotTried) {
         m_snapshotId = m_nextId++;
@@ -119,7 +119,7 @@
     actions.push_back(ScanConfigChanges {m_scanId, m_head.version, m_settings.scanLimit});
 }
 
-void ConfigKeeper::snapshotRead(std::uint64_t id, const std::optional<std::string> &content,
+void ConfigManager::snapshotRead(std::uint64_t id, const std::optional<std::string> &content,
                                 Time now, ConfigActions &actions)
 {
     if (id != m_snapshotId)
@@ -133,7 +133,7 @@
     actions.push_back(ScanConfigChanges {m_scanId, m_head.version, m_settings.scanLimit});
 }
 
-void ConfigKeeper::changesScanned(std::uint64_t id, const ScanOutcome &outcome, Time now,
+void ConfigManager::changesScanned(std::uint64_t id, const ScanOutcome &outcome, Time now,
                                   ConfigActions &actions)
 {
     if (id != m_scanId)
@@ -162,7 +162,7 @@
     }
 }
 
-void ConfigKeeper::peerHead(const std::string &peer, const ConfigHead &head, Time now,
+void ConfigManager::peerHead(const std::string &peer, const ConfigHead &head, Time now,
                             ConfigActions &actions)
 {
     if (head.version == m_head.version && head.version > 0 && head.digest != m_head.digest)
@@ -178,13 +178,13 @@
     actions.push_back(AskPeerForConfig {peer, m_head.version});
 }
 
-void ConfigKeeper::peerChanges(std::span<const ConfigChange> changes, Time, ConfigActions &actions)
+void ConfigManager::peerChanges(std::span<const ConfigChange> changes, Time, ConfigActions &actions)
 {
     m_askedPeerFor = 0;
     applyChanges(changes, actions);
 }
 
-void ConfigKeeper::peerSnapshot(const ConfigSnapshot &snapshot, Time, ConfigActions &actions)
+void ConfigManager::peerSnapshot(const ConfigSnapshot &snapshot, Time, ConfigActions &actions)
 {
     m_askedPeerFor = 0;
     // Never down: an old snapshot, from whoever it comes, changes nothing.
@@ -199,7 +199,7 @@
     install(actions);
 }
 
-bool ConfigKeeper::applyChange(const ConfigChange &change)
+bool ConfigManager::applyChange(const ConfigChange &change)
 {
     if (change.version != m_head.version + 1)
         return false;
@@ -217,7 +217,7 @@
     return true;
 }
 
-bool ConfigKeeper::applyChanges(std::span<const ConfigChange> changes, ConfigActions &actions)
+bool ConfigManager::applyChanges(std::span<const ConfigChange> changes, ConfigActions &actions)
 {
     bool progressed = false;
     for (const ConfigChange &change : changes)
@@ -227,14 +227,14 @@
     return progressed;
 }
 
-void ConfigKeeper::install(ConfigActions &actions)
+void ConfigManager::install(ConfigActions &actions)
 {
     std::vector<Problem> problems;
     if (ConfigPtr config = compileConfig(m_entries, m_head, problems))
         actions.push_back(InstallConfig {std::move(config)});
 }
 
-std::optional<ConfigEntries> ConfigKeeper::entriesAt(std::uint64_t version) const
+std::optional<ConfigEntries> ConfigManager::entriesAt(std::uint64_t version) const
 {
     if (version > m_head.version || m_head.version - version > m_history.size())
         return std::nullopt;
@@ -248,7 +248,7 @@
     return entries;
 }
 
-std::optional<std::vector<ConfigChange>> ConfigKeeper::changesAfter(std::uint64_t version) const
+std::optional<std::vector<ConfigChange>> ConfigManager::changesAfter(std::uint64_t version) const
 {
     if (version >= m_head.version)
         return std::vector<ConfigChange> {};
--- a/src/libbalsamloft/configmanager_test.cpp
+++ b/src/libbalsamloft/configmanager_test.cpp
@@ -19,7 +19,7 @@
 {
     // What is in force stays. A peer that lags, or an object store that serves
     // an old object, hands over a version below the one held.
-    ConfigKeeper keeper({}, 1);
+    ConfigManager keeper({}, 1);
     ConfigActions actions;
     keeper.peerSnapshot(snapshotOf(7, "new"), Time {}, actions);
     REQUIRE(keeper.head().version == 7);
@@ -34,7 +34,7 @@
 {
     // What is in force stays. Someone hands over a change with the right
     // number and another history: the digest shows it.
-    ConfigKeeper keeper({}, 1);
+    ConfigManager keeper({}, 1);
     ConfigActions actions;
     keeper.peerSnapshot(snapshotOf(7, "t"), Time {}, actions);
     ConfigChange change {8, "id", "a", "s", 0, {}, {}};
@@ -49,7 +49,7 @@
 
 TEST_CASE("a snapshot that does not compile is not taken", "[config][failure]")
 {
-    ConfigKeeper keeper({}, 1);
+    ConfigManager keeper({}, 1);
     ConfigActions actions;
     keeper.peerSnapshot({{3, "d"}, {{"rules/teams/t", "{}"}}}, Time {}, actions);
     CHECK(keeper.head().version == 0);
--- a/src/libbalsamloft/configproposals.cpp
+++ b/src/libbalsamloft/configproposals.cpp
@@ -6,7 +6,7 @@
 
 namespace balsamloft {
 
-void ConfigKeeper::propose(ConfigProposal proposal, WallMillis wallNow, Time now,
+void ConfigManager::propose(ConfigProposal proposal, WallMillis wallNow, Time now,
                            ConfigActions &actions)
 {
     m_proposals.push_back({std::move(proposal), wallNow, 0, std::nullopt, false});
@@ -19,7 +19,7 @@
     tick(now, actions);
 }
 
-std::optional<ConfigEdits> ConfigKeeper::proposedEdits(const ConfigProposal &proposal,
+std::optional<ConfigEdits> ConfigManager::proposedEdits(const ConfigProposal &proposal,
                                                        ProposalOutcome &outcome) const
 {
     const std::uint64_t base = proposal.baseVersion.value_or(m_head.version);
@@ -49,7 +49,7 @@
     return diffEntries(*from, *proposal.entries, proposal.section);
 }
 
-bool ConfigKeeper::rebase(ConfigEdits &edits, ProposalOutcome &outcome,
+bool ConfigManager::rebase(ConfigEdits &edits, ProposalOutcome &outcome,
                           std::uint64_t baseVersion) const
 {
     const auto since = changesAfter(baseVersion);
@@ -72,7 +72,7 @@
     return true;
 }
 
-bool ConfigKeeper::settledByHistory(const std::string &id, ProposalOutcome &outcome) const
+bool ConfigManager::settledByHistory(const std::string &id, ProposalOutcome &outcome) const
 {
     const auto it = std::find_if(m_history.begin(), m_history.end(),
                                  [&](const ConfigChange &change) { return change.id == id; });
@@ -84,7 +84,7 @@
     return true;
 }
 
-void ConfigKeeper::tryProposal(Time now, ConfigActions &actions)
+void ConfigManager::tryProposal(Time now, ConfigActions &actions)
 {
     if (m_proposals.empty())
         return;
@@ -127,7 +127,7 @@
     commit(pending, std::move(*edits), now, actions);
 }
 
-void ConfigKeeper::commit(Pending &pending, ConfigEdits edits, Time, ConfigActions &actions)
+void ConfigManager::commit(Pending &pending, ConfigEdits edits, Time, ConfigActions &actions)
 {
     ConfigChange change;
     change.version = m_head.version + 1;
@@ -149,7 +149,7 @@
     actions.push_back(CommitConfig {m_commitId, std::move(transaction)});
 }
 
-void ConfigKeeper::commitDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
+void ConfigManager::commitDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
                               ConfigActions &actions)
 {
     if (id != m_commitId || m_proposals.empty() || !m_proposals.front().sent)
@@ -179,7 +179,7 @@
     tick(now, actions);
 }
 
-void ConfigKeeper::decideUndone(Time now, ConfigActions &actions)
+void ConfigManager::decideUndone(Time now, ConfigActions &actions)
 {
     ProposalOutcome outcome;
     // Never "not done" after a commit whose answer was lost: it may stand.
@@ -189,7 +189,7 @@
     decide(std::move(outcome), now, actions);
 }
 
-void ConfigKeeper::decide(ProposalOutcome outcome, Time now, ConfigActions &actions)
+void ConfigManager::decide(ProposalOutcome outcome, Time now, ConfigActions &actions)
 {
     const std::string id = m_proposals.front().proposal.id;
     m_proposals.pop_front();
