--- a/src/balsamloftd/controlplane.cpp
+++ b/src/balsamloftd/controlplane.cpp
@@ -19,9 +19,9 @@
 constexpr int LeaseMarginParts = 9;
 constexpr double DemandSmoothing = 0.3;
 
-ConfigKeeperSettings keeperSettings(const DaemonSettings &settings)
+ConfigManagerSettings keeperSettings(const DaemonSettings &settings)
 {
-    ConfigKeeperSettings result;
+    ConfigManagerSettings result;
     result.pollInterval = settings.configPoll;
     return result;
 }
--- a/src/fakes/controlharness.h
+++ b/src/fakes/controlharness.h
@@ -25,7 +25,7 @@
     Duration latency {1'000};
     Duration tableLatency {3'000};
     MembershipSettings membership;
-    ConfigKeeperSettings config;
+    ConfigManagerSettings config;
     std::uint64_t seed = 1;
 };
 
--- a/src/include/balsamloft/configmanager.h
+++ b/src/include/balsamloft/configmanager.h
@@ -14,7 +14,7 @@
 namespace balsamloft {
 
 /// Settings of a ConfigManager.
-struct ConfigKeeperSettings
+struct ConfigManagerSettings
 {
     Duration pollInterval {5'000'000};
     Duration retryDelay {300'000};
@@ -130,7 +130,7 @@
 class ConfigManager
 {
 public:
-    ConfigManager(ConfigKeeperSettings settings, std::uint64_t seed);
+    ConfigManager(ConfigManagerSettings settings, std::uint64_t seed);
 
     // Commands
 
@@ -195,7 +195,7 @@
     bool settledByHistory(const std::string &id, ProposalOutcome &outcome) const;
     void pollSoon(Time now);
 
-    ConfigKeeperSettings m_settings;
+    ConfigManagerSettings m_settings;
     std::minstd_rand m_random;
     ConfigHead m_head;
     ConfigEntries m_entries;
--- a/src/libbalsamloft/configmanager.cpp
+++ b/src/libbalsamloft/configmanager.cpp
@@ -58,7 +58,7 @@
     return snapshot;
 }
 
-ConfigManager::ConfigManager(ConfigKeeperSettings settings, std::uint64_t seed)
+ConfigManager::ConfigManager(ConfigManagerSettings settings, std::uint64_t seed)
     : m_settings(settings)
     , m_random(static_cast<std::minstd_rand::result_type>(seed))
     , m_nextPoll(Time {})
