--- a/src/balsamloftd/controlactions.cpp
+++ b/src/balsamloftd/controlactions.cpp
@@ -69,7 +69,7 @@
     });
 }
 
-void ControlPlane::operator()(AskPeerForConfig &action)
+void ControlPlane::operator()(RequestPeerConfig &action)
 {
     m_peers.send(action.peer, makeConfigRequest(m_config, m_membership.self(), action.after));
 }
--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -90,7 +90,7 @@
     void operator()(ScanConfigChanges &action);
     void operator()(ReadConfigSnapshot &action);
     void operator()(WriteConfigSnapshot &action);
-    void operator()(AskPeerForConfig &action);
+    void operator()(RequestPeerConfig &action);
     void operator()(CommitConfig &action);
     void operator()(InstallConfig &action);
     void operator()(ProposalDecided &action);
--- a/src/fakes/controlharness.cpp
+++ b/src/fakes/controlharness.cpp
@@ -203,7 +203,7 @@
         } else if (auto *write = std::get_if<WriteConfigSnapshot>(&action)) {
             if (reachable(index))
                 m_objects[std::string(SnapshotObject)] = std::move(write->content);
-        } else if (auto *ask = std::get_if<AskPeerForConfig>(&action)) {
+        } else if (auto *ask = std::get_if<RequestPeerConfig>(&action)) {
             send(index, ask->peer,
                  makeConfigRequest(node.config, node.membership.self(), ask->after));
         } else if (auto *commit = std::get_if<CommitConfig>(&action)) {
--- a/src/include/balsamloft/configmanager.h
+++ b/src/include/balsamloft/configmanager.h
@@ -90,7 +90,7 @@
 {
     std::string content;
 };
-struct AskPeerForConfig
+struct RequestPeerConfig
 {
     std::string peer;
     std::uint64_t after = 0;
@@ -113,7 +113,7 @@
 
 using ConfigAction =
     std::variant<ReadConfigHead, ScanConfigChanges, ReadConfigSnapshot, WriteConfigSnapshot,
-                 AskPeerForConfig, CommitConfig, InstallConfig, ProposalDecided>;
+                 RequestPeerConfig, CommitConfig, InstallConfig, ProposalDecided>;
 using ConfigActions = std::vector<ConfigAction>;
 
 inline constexpr std::string_view ConfigTable = "config";
--- a/src/libbalsamloft/configmanager.cpp
+++ b/src/libbalsamloft/configmanager.cpp
@@ -175,7 +175,7 @@
         return;
     m_askedPeerFor = head.version;
     m_askedPeerAt = now;
-    actions.push_back(AskPeerForConfig {peer, m_head.version});
+    actions.push_back(RequestPeerConfig {peer, m_head.version});
 }
 
 void ConfigManager::peerChanges(std::span<const ConfigChange> changes, Time, ConfigActions &actions)
