--- a/src/balsamloftd/controlplane.cpp
+++ b/src/balsamloftd/controlplane.cpp
@@ -339,7 +339,7 @@
         break;
     case PeerMessage::Kind::ConfigChanges:
     case PeerMessage::Kind::ConfigWhole:
-        takeConfigAnswer(m_config, message, now, configActions);
+        applyConfigAnswer(m_config, message, now, configActions);
         break;
     default: {
         MembershipActions actions;
--- a/src/fakes/controlharness.cpp
+++ b/src/fakes/controlharness.cpp
@@ -138,7 +138,7 @@
         break;
     case PeerMessage::Kind::ConfigChanges:
     case PeerMessage::Kind::ConfigWhole:
-        takeConfigAnswer(node.config, message, m_now, configActions);
+        applyConfigAnswer(node.config, message, m_now, configActions);
         break;
     default: {
         MembershipActions actions;
--- a/src/include/balsamloft/configexchange.h
+++ b/src/include/balsamloft/configexchange.h
@@ -19,7 +19,7 @@
 
 /// Takes an answer of a peer. What does not parse is ignored: the platform or
 /// another peer has it too.
-void takeConfigAnswer(ConfigManager &keeper, const PeerMessage &answer, Time now,
+void applyConfigAnswer(ConfigManager &keeper, const PeerMessage &answer, Time now,
                       ConfigActions &actions);
 
 } // namespace balsamloft
--- a/src/libbalsamloft/configexchange.cpp
+++ b/src/libbalsamloft/configexchange.cpp
@@ -37,7 +37,7 @@
     return answer;
 }
 
-void takeConfigAnswer(ConfigManager &keeper, const PeerMessage &answer, Time now,
+void applyConfigAnswer(ConfigManager &keeper, const PeerMessage &answer, Time now,
                       ConfigActions &actions)
 {
     Reason reason;
