--- a/src/balsamloftd/controlplane.cpp
+++ b/src/balsamloftd/controlplane.cpp
@@ -338,7 +338,7 @@
                      makeConfigAnswer(m_config, m_membership.self(), message.after));
         break;
     case PeerMessage::Kind::ConfigChanges:
-    case PeerMessage::Kind::ConfigWhole:
+    case PeerMessage::Kind::ConfigFull:
         applyConfigAnswer(m_config, message, now, configActions);
         break;
     default: {
--- a/src/fakes/controlharness.cpp
+++ b/src/fakes/controlharness.cpp
@@ -137,7 +137,7 @@
              makeConfigAnswer(node.config, node.membership.self(), message.after));
         break;
     case PeerMessage::Kind::ConfigChanges:
-    case PeerMessage::Kind::ConfigWhole:
+    case PeerMessage::Kind::ConfigFull:
         applyConfigAnswer(node.config, message, m_now, configActions);
         break;
     default: {
--- a/src/include/balsamloft/peermessage.h
+++ b/src/include/balsamloft/peermessage.h
@@ -48,7 +48,7 @@
         PingRequest, ///< please ping \c target for me
         ConfigRequest, ///< please send the changes after \c after
         ConfigChanges,
-        ConfigWhole, ///< the changes do not reach back so far; the whole instead
+        ConfigFull, ///< the changes do not reach back so far; the whole instead
     };
     Kind kind = Kind::Ping;
     MemberNews from;
@@ -61,7 +61,7 @@
     MemberNews target; ///< PingRequest only
     std::uint64_t after = 0; ///< ConfigRequest only
     std::vector<std::string> changes; ///< ConfigChanges only, as JSON
-    std::string snapshot; ///< ConfigWhole only, as JSON
+    std::string snapshot; ///< ConfigFull only, as JSON
 };
 
 } // namespace balsamloft
--- a/src/libbalsamloft/configexchange.cpp
+++ b/src/libbalsamloft/configexchange.cpp
@@ -31,7 +31,7 @@
         for (const ConfigChange &change : *changes)
             answer.changes.push_back(toJson(change));
     } else {
-        answer.kind = PeerMessage::Kind::ConfigWhole;
+        answer.kind = PeerMessage::Kind::ConfigFull;
         answer.snapshot = toJson(keeper.snapshot());
     }
     return answer;
@@ -41,7 +41,7 @@
                       ConfigActions &actions)
 {
     Reason reason;
-    if (answer.kind == PeerMessage::Kind::ConfigWhole) {
+    if (answer.kind == PeerMessage::Kind::ConfigFull) {
         if (const auto snapshot = snapshotFromJson(answer.snapshot, reason))
             keeper.peerSnapshot(*snapshot, now, actions);
         return;
--- a/src/libpeer/peercodec.cpp
+++ b/src/libpeer/peercodec.cpp
@@ -89,7 +89,7 @@
         return std::nullopt;
     }
     PeerMessage message;
-    if (envelope.kind() > static_cast<std::uint32_t>(PeerMessage::Kind::ConfigWhole)
+    if (envelope.kind() > static_cast<std::uint32_t>(PeerMessage::Kind::ConfigFull)
         || !fromWire(envelope.from(), message.from) || message.from.name.empty()) {
         reason = "unknown kind or sender";
         return std::nullopt;
