--- a/src/include/balsamloft/configmanager.h
+++ b/src/include/balsamloft/configmanager.h
@@ -203,7 +203,7 @@
     std::deque<Pending> m_proposals; ///< the first is being decided
     std::optional<Time> m_nextPoll;
     std::map<std::string, ConfigHead> m_peerHeads;
-    std::uint64_t m_askedPeerFor = 0; ///< version
+    std::uint64_t m_requestedVersion = 0; ///< version
     Time m_askedPeerAt {};
     std::uint64_t m_nextId = 1;
     std::uint64_t m_headReadId = 0;
--- a/src/libbalsamloft/configmanager.cpp
+++ b/src/libbalsamloft/configmanager.cpp
@@ -170,23 +170,23 @@
     if (head.version <= m_head.version)
         return;
     const bool waiting =
-        m_askedPeerFor >= head.version && now - m_askedPeerAt < m_settings.peerTimeout;
+        m_requestedVersion >= head.version && now - m_askedPeerAt < m_settings.peerTimeout;
     if (waiting)
         return;
-    m_askedPeerFor = head.version;
+    m_requestedVersion = head.version;
     m_askedPeerAt = now;
     actions.push_back(RequestPeerConfig {peer, m_head.version});
 }
 
 void ConfigManager::peerChanges(std::span<const ConfigChange> changes, Time, ConfigActions &actions)
 {
-    m_askedPeerFor = 0;
+    m_requestedVersion = 0;
     applyChanges(changes, actions);
 }
 
 void ConfigManager::peerSnapshot(const ConfigSnapshot &snapshot, Time, ConfigActions &actions)
 {
-    m_askedPeerFor = 0;
+    m_requestedVersion = 0;
     // Never down: an old snapshot, from whoever it comes, changes nothing.
     if (snapshot.head.version <= m_head.version)
         return;
