--- a/src/include/balsamloft/configmanager.h
+++ b/src/include/balsamloft/configmanager.h
@@ -204,7 +204,7 @@
     std::optional<Time> m_nextPoll;
     std::map<std::string, ConfigHead> m_peerHeads;
     std::uint64_t m_requestedVersion = 0; ///< version
-    Time m_askedPeerAt {};
+    Time m_requestedAt {};
     std::uint64_t m_nextId = 1;
     std::uint64_t m_headReadId = 0;
     std::uint64_t m_scanId = 0;
--- a/src/libbalsamloft/configmanager.cpp
+++ b/src/libbalsamloft/configmanager.cpp
@@ -170,11 +170,11 @@
     if (head.version <= m_head.version)
         return;
     const bool waiting =
-        m_requestedVersion >= head.version && now - m_askedPeerAt < m_settings.peerTimeout;
+        m_requestedVersion >= head.version && now - m_requestedAt < m_settings.peerTimeout;
     if (waiting)
         return;
     m_requestedVersion = head.version;
-    m_askedPeerAt = now;
+    m_requestedAt = now;
     actions.push_back(RequestPeerConfig {peer, m_head.version});
 }
 
