--- a/src/include/balsamloft/configmanager.h
+++ b/src/include/balsamloft/configmanager.h
@@ -192,7 +192,7 @@
     void commit(Pending &pending, ConfigEdits edits, Time now, ConfigActions &actions);
     void decideUndone(Time now, ConfigActions &actions);
     void decide(ProposalOutcome outcome, Time now, ConfigActions &actions);
-    bool settledByHistory(const std::string &id, ProposalOutcome &outcome) const;
+    bool foundInHistory(const std::string &id, ProposalOutcome &outcome) const;
     void pollSoon(Time now);
 
     ConfigManagerSettings m_settings;
--- a/src/libbalsamloft/configproposals.cpp
+++ b/src/libbalsamloft/configproposals.cpp
@@ -72,7 +72,7 @@
     return true;
 }
 
-bool ConfigManager::settledByHistory(const std::string &id, ProposalOutcome &outcome) const
+bool ConfigManager::foundInHistory(const std::string &id, ProposalOutcome &outcome) const
 {
     const auto it = std::find_if(m_history.begin(), m_history.end(),
                                  [&](const ConfigChange &change) { return change.id == id; });
@@ -93,7 +93,7 @@
     outcome.head = m_head;
     // A commit whose answer was lost shows in the chain by its id. This also
     // answers an operator who asks again with the same id.
-    if (settledByHistory(pending.proposal.id, outcome))
+    if (foundInHistory(pending.proposal.id, outcome))
         return decide(std::move(outcome), now, actions);
     auto edits = proposedEdits(pending.proposal, outcome);
     if (!edits)
