--- a/src/include/balsamloft/configmanager.h
+++ b/src/include/balsamloft/configmanager.h
@@ -190,7 +190,7 @@
                                              ProposalOutcome &outcome) const;
     bool rebase(ConfigEdits &edits, ProposalOutcome &outcome, std::uint64_t baseVersion) const;
     void commit(Pending &pending, ConfigEdits edits, Time now, ConfigActions &actions);
-    void decideUndone(Time now, ConfigActions &actions);
+    void finishUncommitted(Time now, ConfigActions &actions);
     void decide(ProposalOutcome outcome, Time now, ConfigActions &actions);
     bool foundInHistory(const std::string &id, ProposalOutcome &outcome) const;
     void pollSoon(Time now);
--- a/src/libbalsamloft/configmanager.cpp
+++ b/src/libbalsamloft/configmanager.cpp
@@ -93,7 +93,7 @@
             pollSoon(now);
         if (m_proposalWaitsForHead) {
             m_proposalWaitsForHead = false;
-            decideUndone(now, actions);
+            finishUncommitted(now, actions);
         }
         return;
     }
@@ -158,7 +158,7 @@
         m_proposalWaitsForHead = false;
         if (outcome.available)
             return tryProposal(now, actions);
-        decideUndone(now, actions);
+        finishUncommitted(now, actions);
     }
 }
 
--- a/src/libbalsamloft/configproposals.cpp
+++ b/src/libbalsamloft/configproposals.cpp
@@ -172,14 +172,14 @@
     pending.uncertain = pending.uncertain || outcome.kind == TransactionOutcome::Kind::Unknown;
     if (++pending.tries > m_settings.maxRebases
         || outcome.kind == TransactionOutcome::Kind::NotCommitted) {
-        return decideUndone(now, actions);
+        return finishUncommitted(now, actions);
     }
     m_proposalWaitsForHead = true;
     m_nextPoll = now;
     tick(now, actions);
 }
 
-void ConfigManager::decideUndone(Time now, ConfigActions &actions)
+void ConfigManager::finishUncommitted(Time now, ConfigActions &actions)
 {
     ProposalOutcome outcome;
     // Never "not done" after a commit whose answer was lost: it may stand.
