--- a/src/include/balsamloft/configmanager.h
+++ b/src/include/balsamloft/configmanager.h
@@ -212,7 +212,7 @@
     std::uint64_t m_snapshotId = 0;
     std::uint64_t m_forksSeen = 0;
     bool m_platformReachable = false;
-    bool m_snapshotTried = false;
+    bool m_snapshotRequested = false;
     bool m_proposalWaitsForHead = false;
 };
 
--- a/src/libbalsamloft/configmanager.cpp
+++ b/src/libbalsamloft/configmanager.cpp
@@ -109,9 +109,9 @@
 
 void ConfigManager::fetchFrom(std::uint64_t newest, ConfigActions &actions)
 {
-    if (newest - m_head.version > m_settings.snapshotLag && !m_snapshotTried) {
+    if (newest - m_head.version > m_settings.snapshotLag && !m_snapshotRequested) {
         m_snapshotId = m_nextId++;
-        m_snapshotTried = true;
+        m_snapshotRequested = true;
         actions.push_back(ReadConfigSnapshot {m_snapshotId});
         return;
     }
