--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -38,7 +38,7 @@
 /// An instance, as this one sees it.
 struct Member
 {
-    MemberNews news;
+    MemberStatus news;
     Time changedAt {};
     Time heardAt {};
     ConfigHead head; ///< when last heard
@@ -61,7 +61,7 @@
 };
 struct MemberChanged
 {
-    MemberNews news;
+    MemberStatus news;
 };
 
 using MembershipAction = std::variant<SendToPeer, SetEndpointLeaving, MemberChanged>;
@@ -103,7 +103,7 @@
 
     /// Instances believed alive or suspect, this one included.
     std::size_t liveCount() const;
-    MemberNews self() const;
+    MemberStatus self() const;
 
     /// How long to wait between two looks at the platform's list. The list of a
     /// large fleet is long; instances share the reading and gossip the rest.
@@ -150,17 +150,17 @@
     void expireSuspects(Time now, MembershipActions &actions);
     void healOne(MembershipActions &actions);
     void heard(const PeerMessage &message, Time now, MembershipActions &actions);
-    bool apply(const MemberNews &news, Time now, MembershipActions &actions);
+    bool apply(const MemberStatus &news, Time now, MembershipActions &actions);
     void apply(const EndpointNews &news, MembershipActions &actions);
-    void refute(const MemberNews &news);
-    bool attachDoubt(const MemberNews &from, PeerMessage &reply) const;
+    void refute(const MemberStatus &news);
+    bool attachDoubt(const MemberStatus &from, PeerMessage &reply) const;
     void setState(Member &member, MemberState state, Time now, MembershipActions &actions);
     PeerMessage message(PeerMessage::Kind kind, std::uint64_t sequence);
     void attachNews(PeerMessage &message);
     void spread(const std::string &name, bool endpoint);
     std::uint32_t transmissions() const;
     Duration suspicionTime() const;
-    void askHelpers(const MemberNews &target, MembershipActions &actions);
+    void askHelpers(const MemberStatus &target, MembershipActions &actions);
     std::vector<const Member *> candidates(const std::string &except) const;
 
     MembershipSettings m_settings;
--- a/src/include/balsamloft/peermessage.h
+++ b/src/include/balsamloft/peermessage.h
@@ -13,7 +13,7 @@
 
 /// News of an instance. Of two, the one of the higher incarnation counts; at
 /// the same incarnation the later state of MemberState does.
-struct MemberNews
+struct MemberStatus
 {
     std::string name;
     std::string domain;
@@ -51,14 +51,14 @@
         ConfigFull, ///< the changes do not reach back so far; the whole instead
     };
     Kind kind = Kind::Ping;
-    MemberNews from;
+    MemberStatus from;
     std::uint64_t sequence = 0;
     std::uint32_t knownMembers = 0; ///< tells whether the sender needs the whole list
     ConfigHead head; ///< held by the sender
-    std::vector<MemberNews> members;
+    std::vector<MemberStatus> members;
     std::vector<EndpointNews> endpoints;
     std::vector<Demand> demand; ///< of the sender
-    MemberNews target; ///< PingRequest only
+    MemberStatus target; ///< PingRequest only
     std::uint64_t after = 0; ///< ConfigRequest only
     std::vector<std::string> changes; ///< ConfigChanges only, as JSON
     std::string snapshot; ///< ConfigFull only, as JSON
--- a/src/libbalsamloft/configexchange.cpp
+++ b/src/libbalsamloft/configexchange.cpp
@@ -8,7 +8,7 @@
 
 } // namespace
 
-PeerMessage makeConfigRequest(const ConfigManager &keeper, const MemberNews &self,
+PeerMessage makeConfigRequest(const ConfigManager &keeper, const MemberStatus &self,
                               std::uint64_t after)
 {
     PeerMessage request;
@@ -19,7 +19,7 @@
     return request;
 }
 
-PeerMessage makeConfigAnswer(const ConfigManager &keeper, const MemberNews &self,
+PeerMessage makeConfigAnswer(const ConfigManager &keeper, const MemberStatus &self,
                              std::uint64_t after)
 {
     PeerMessage answer;
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -47,7 +47,7 @@
     spread(m_settings.name, false);
 }
 
-MemberNews Membership::self() const
+MemberStatus Membership::self() const
 {
     return {m_settings.name, m_settings.domain, m_settings.address, m_settings.incarnation,
             m_state};
@@ -178,7 +178,7 @@
     }
 }
 
-void Membership::askHelpers(const MemberNews &target, MembershipActions &actions)
+void Membership::askHelpers(const MemberStatus &target, MembershipActions &actions)
 {
     auto helpers = candidates(target.name);
     std::shuffle(helpers.begin(), helpers.end(), m_random);
@@ -319,7 +319,7 @@
     }
 }
 
-bool Membership::attachDoubt(const MemberNews &from, PeerMessage &reply) const
+bool Membership::attachDoubt(const MemberStatus &from, PeerMessage &reply) const
 {
     // One that speaks is alive, but its word does not go before news of the
     // same incarnation: it has to be told what is said of it, to refute it.
@@ -337,7 +337,7 @@
 void Membership::heard(const PeerMessage &incoming, Time now, MembershipActions &actions)
 {
     apply(incoming.from, now, actions);
-    for (const MemberNews &news : incoming.members)
+    for (const MemberStatus &news : incoming.members)
         apply(news, now, actions);
     for (const EndpointNews &news : incoming.endpoints)
         apply(news, actions);
@@ -352,7 +352,7 @@
     }
 }
 
-void Membership::refute(const MemberNews &news)
+void Membership::refute(const MemberStatus &news)
 {
     const bool wrong = news.state == MemberState::Suspect || news.state == MemberState::Dead;
     if (!wrong || news.incarnation < m_settings.incarnation)
@@ -361,7 +361,7 @@
     spread(m_settings.name, false);
 }
 
-bool Membership::apply(const MemberNews &news, Time now, MembershipActions &actions)
+bool Membership::apply(const MemberStatus &news, Time now, MembershipActions &actions)
 {
     if (news.name == m_settings.name) {
         refute(news);
--- a/src/libpeer/peercodec.cpp
+++ b/src/libpeer/peercodec.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t HexDigitsPerByte = 2;
 
-void toWire(const MemberNews &news, wire::Member &member)
+void toWire(const MemberStatus &news, wire::Member &member)
 {
     member.set_name(news.name);
     member.set_domain(news.domain);
@@ -17,7 +17,7 @@
     member.set_state(static_cast<std::uint32_t>(news.state));
 }
 
-bool fromWire(const wire::Member &member, MemberNews &news)
+bool fromWire(const wire::Member &member, MemberStatus &news)
 {
     if (member.state() > static_cast<std::uint32_t>(MemberState::Dead))
         return false;
@@ -59,7 +59,7 @@
     envelope.set_known_members(message.knownMembers);
     envelope.set_version(message.head.version);
     envelope.set_digest(hexToBytes(message.head.digest));
-    for (const MemberNews &news : message.members)
+    for (const MemberStatus &news : message.members)
         toWire(news, *envelope.add_members());
     for (const EndpointNews &news : message.endpoints) {
         wire::EndpointState *state = envelope.add_endpoints();
@@ -99,7 +99,7 @@
     message.knownMembers = envelope.known_members();
     message.head = {envelope.version(), bytesToHex(envelope.digest())};
     for (const wire::Member &member : envelope.members()) {
-        MemberNews news;
+        MemberStatus news;
         if (fromWire(member, news))
             message.members.push_back(std::move(news));
     }
