--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -151,7 +151,7 @@
     void healOne(MembershipActions &actions);
     void heard(const PeerMessage &message, Time now, MembershipActions &actions);
     bool apply(const MemberStatus &news, Time now, MembershipActions &actions);
-    void apply(const EndpointNews &news, MembershipActions &actions);
+    void apply(const EndpointStatus &news, MembershipActions &actions);
     void refute(const MemberStatus &news);
     bool attachDoubt(const MemberStatus &from, PeerMessage &reply) const;
     void setState(Member &member, MemberState state, Time now, MembershipActions &actions);
@@ -167,7 +167,7 @@
     std::minstd_rand m_random;
     MemberState m_state = MemberState::Alive;
     std::map<std::string, Member> m_members; ///< others
-    std::map<std::string, EndpointNews> m_endpoints;
+    std::map<std::string, EndpointStatus> m_endpoints;
     std::map<std::string, Outgoing> m_news; ///< by name of a member or endpoint
     std::set<std::string> m_addresses; ///< to look for peers at
     std::deque<std::string> m_order; ///< names to probe next
--- a/src/include/balsamloft/peermessage.h
+++ b/src/include/balsamloft/peermessage.h
@@ -24,7 +24,7 @@
 
 /// News of an endpoint: it is shutting down, or a new process has taken its
 /// place. At the same generation leaving counts, whatever came first.
-struct EndpointNews
+struct EndpointStatus
 {
     std::string name;
     std::uint64_t generation = 0;
@@ -56,7 +56,7 @@
     std::uint32_t knownMembers = 0; ///< tells whether the sender needs the whole list
     ConfigHead head; ///< held by the sender
     std::vector<MemberStatus> members;
-    std::vector<EndpointNews> endpoints;
+    std::vector<EndpointStatus> endpoints;
     std::vector<Demand> demand; ///< of the sender
     MemberStatus target; ///< PingRequest only
     std::uint64_t after = 0; ///< ConfigRequest only
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -339,7 +339,7 @@
     apply(incoming.from, now, actions);
     for (const MemberStatus &news : incoming.members)
         apply(news, now, actions);
-    for (const EndpointNews &news : incoming.endpoints)
+    for (const EndpointStatus &news : incoming.endpoints)
         apply(news, actions);
     const auto it = m_members.find(incoming.from.name);
     if (it == m_members.end())
@@ -397,10 +397,10 @@
     return true;
 }
 
-void Membership::apply(const EndpointNews &news, MembershipActions &actions)
+void Membership::apply(const EndpointStatus &news, MembershipActions &actions)
 {
-    auto [it, added] = m_endpoints.try_emplace(news.name, EndpointNews {news.name, 0, false});
-    EndpointNews &known = it->second;
+    auto [it, added] = m_endpoints.try_emplace(news.name, EndpointStatus {news.name, 0, false});
+    EndpointStatus &known = it->second;
     const bool newer =
         std::pair(news.generation, news.leaving) > std::pair(known.generation, known.leaving);
     if (!newer)
@@ -423,7 +423,7 @@
         }
         // The list lags: an entry of the generation known to be leaving that
         // still says "live" changes nothing.
-        apply(EndpointNews {item.name, item.generation, item.leaving}, actions);
+        apply(EndpointStatus {item.name, item.generation, item.leaving}, actions);
     }
 }
 
@@ -437,7 +437,7 @@
 {
     const auto it = m_endpoints.find(endpoint);
     const std::uint64_t generation = it == m_endpoints.end() ? 0 : it->second.generation;
-    apply(EndpointNews {endpoint, generation, true}, actions);
+    apply(EndpointStatus {endpoint, generation, true}, actions);
 }
 
 bool Membership::endpointLeaving(const std::string &endpoint) const
--- a/src/libpeer/peercodec.cpp
+++ b/src/libpeer/peercodec.cpp
@@ -61,7 +61,7 @@
     envelope.set_digest(hexToBytes(message.head.digest));
     for (const MemberStatus &news : message.members)
         toWire(news, *envelope.add_members());
-    for (const EndpointNews &news : message.endpoints) {
+    for (const EndpointStatus &news : message.endpoints) {
         wire::EndpointState *state = envelope.add_endpoints();
         state->set_name(news.name);
         state->set_generation(news.generation);
