--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -30,7 +30,7 @@
     double suspicionFactor = 2; ///< periods of suspicion, times log2 of the fleet
     Duration forgetDead {600'000'000};
     std::uint32_t helpers = 3; ///< others asked to probe who did not answer
-    std::size_t newsPerMessage = 6;
+    std::size_t updatesPerMessage = 6;
     std::size_t demandsPerMessage = 8;
     std::uint32_t healEvery = 5; ///< periods between probes of those believed gone
 };
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -107,7 +107,7 @@
     std::vector<std::pair<std::uint32_t, std::string>> order;
     for (const auto &[key, outgoing] : m_news)
         order.emplace_back(outgoing.left, key);
-    const std::size_t count = std::min(order.size(), m_settings.newsPerMessage);
+    const std::size_t count = std::min(order.size(), m_settings.updatesPerMessage);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count),
                       order.end(), std::greater<>());
     for (std::size_t i = 0; i < count; ++i) {
