--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -32,7 +32,7 @@
     std::uint32_t helpers = 3; ///< others asked to probe who did not answer
     std::size_t updatesPerMessage = 6;
     std::size_t demandsPerMessage = 8;
-    std::uint32_t healEvery = 5; ///< periods between probes of those believed gone
+    std::uint32_t rejoinProbeEvery = 5; ///< periods between probes of those believed gone
 };
 
 /// An instance, as this one sees it.
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -143,7 +143,7 @@
     if (now >= m_nextPeriod) {
         m_nextPeriod = now + m_settings.period;
         probeNext(now, actions);
-        if (m_periods++ % m_settings.healEvery == 0)
+        if (m_periods++ % m_settings.rejoinProbeEvery == 0)
             healOne(actions);
         std::erase_if(m_favours,
                       [&](const auto &item) { return now - item.second.at > FavourLifetime; });
