--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -28,7 +28,7 @@
     Duration ackTimeout {250'000}; ///< then it is asked once more, then by others
     Duration suspicion {5'000'000}; ///< least time from suspect to dead
     double suspicionFactor = 2; ///< periods of suspicion, times log2 of the fleet
-    Duration forgetDead {600'000'000};
+    Duration deadRetention {600'000'000};
     std::uint32_t helpers = 3; ///< others asked to probe who did not answer
     std::size_t updatesPerMessage = 6;
     std::size_t demandsPerMessage = 8;
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -243,12 +243,12 @@
         if (member.news.state == MemberState::Suspect && now - member.changedAt >= suspicion)
             setState(member, MemberState::Dead, now, actions);
         if (member.news.state == MemberState::Leaving
-            && now - member.changedAt >= m_settings.forgetDead)
+            && now - member.changedAt >= m_settings.deadRetention)
             setState(member, MemberState::Dead, now, actions);
     }
     std::erase_if(m_members, [&](const auto &item) {
         return item.second.news.state == MemberState::Dead
-               && now - item.second.changedAt >= m_settings.forgetDead;
+               && now - item.second.changedAt >= m_settings.deadRetention;
     });
 }
 
