--- a/src/balsamloftd/adminserver.cpp
+++ b/src/balsamloftd/adminserver.cpp
@@ -355,7 +355,7 @@
                            {"state", toString(member.news.state)},
                            {"version", member.head.version},
                            {"lags", member.head.version < own.version},
-                           {"heard_ms_ago", (now - member.heardAt).count() / 1000}});
+                           {"heard_ms_ago", (now - member.lastMessageAt).count() / 1000}});
     return members;
 }
 
--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -40,7 +40,7 @@
 {
     MemberStatus news;
     Time changedAt {};
-    Time heardAt {};
+    Time lastMessageAt {};
     ConfigHead head; ///< when last heard
     std::vector<Demand> demand;
     Time demandAt {};
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -344,7 +344,7 @@
     const auto it = m_members.find(incoming.from.name);
     if (it == m_members.end())
         return;
-    it->second.heardAt = now;
+    it->second.lastMessageAt = now;
     it->second.head = incoming.head;
     if (!incoming.demand.empty()) {
         it->second.demand = incoming.demand;
@@ -376,7 +376,7 @@
             return false;
         Member &member = m_members[news.name];
         member.news = news;
-        member.changedAt = member.heardAt = now;
+        member.changedAt = member.lastMessageAt = now;
         spread(news.name, false);
         actions.push_back(MemberChanged {news});
         return true;
