--- a/src/balsamloftd/controlplane.cpp
+++ b/src/balsamloftd/controlplane.cpp
@@ -140,11 +140,11 @@
     });
 }
 
-void ControlPlane::endpointSaysLeaving(std::string endpoint)
+void ControlPlane::endpointReportedLeaving(std::string endpoint)
 {
     asio::post(m_context, [this, endpoint = std::move(endpoint)] {
         MembershipActions actions;
-        m_membership.endpointSaysLeaving(endpoint, actions);
+        m_membership.endpointReportedLeaving(endpoint, actions);
         perform(actions);
     });
 }
--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -36,7 +36,7 @@
 
     void startClaim(std::uint32_t worker, StartClaim claim) override;
     void resolveClaim(std::uint32_t worker, SettleClaim settle) override;
-    void endpointSaysLeaving(std::string endpoint) override;
+    void endpointReportedLeaving(std::string endpoint) override;
     void collectMetrics(std::function<void(std::string)> callback) override;
 
     /// Says to peers that this instance is leaving, and gives up its lease.
--- a/src/balsamloftd/trafficworker.cpp
+++ b/src/balsamloftd/trafficworker.cpp
@@ -524,7 +524,7 @@
 
 void TrafficWorker::operator()(NoteLeaving &note)
 {
-    m_control.endpointSaysLeaving(m_router.loads().state(note.endpoint).name);
+    m_control.endpointReportedLeaving(m_router.loads().state(note.endpoint).name);
 }
 
 void TrafficWorker::operator()(CloseConnections &close)
--- a/src/balsamloftd/trafficworker.h
+++ b/src/balsamloftd/trafficworker.h
@@ -28,7 +28,7 @@
     virtual void startClaim(std::uint32_t worker, StartClaim claim) = 0;
     virtual void resolveClaim(std::uint32_t worker, SettleClaim settle) = 0;
 
-    virtual void endpointSaysLeaving(std::string endpoint) = 0;
+    virtual void endpointReportedLeaving(std::string endpoint) = 0;
 
     /// Asks for the metrics of the whole process.
     virtual void collectMetrics(std::function<void(std::string)> callback) = 0;
--- a/src/fakes/controlharness.cpp
+++ b/src/fakes/controlharness.cpp
@@ -251,7 +251,7 @@
 void ControlHarness::saysLeaving(std::size_t index, const std::string &endpoint)
 {
     MembershipActions actions;
-    m_nodes[index].membership.endpointSaysLeaving(endpoint, actions);
+    m_nodes[index].membership.endpointReportedLeaving(endpoint, actions);
     perform(index, actions);
 }
 
--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -88,7 +88,7 @@
     void setInventory(std::span<const Instance> instances);
 
     /// An endpoint said itself that it is shutting down.
-    void endpointSaysLeaving(const std::string &endpoint, MembershipActions &actions);
+    void endpointReportedLeaving(const std::string &endpoint, MembershipActions &actions);
     void setAddress(std::string address) { m_settings.address = std::move(address); }
     void setHead(ConfigHead head) { m_head = std::move(head); }
     void setDemand(std::vector<Demand> demand) { m_demand = std::move(demand); }
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -433,7 +433,7 @@
         m_addresses.insert(instance.peerAddress);
 }
 
-void Membership::endpointSaysLeaving(const std::string &endpoint, MembershipActions &actions)
+void Membership::endpointReportedLeaving(const std::string &endpoint, MembershipActions &actions)
 {
     const auto it = m_endpoints.find(endpoint);
     const std::uint64_t generation = it == m_endpoints.end() ? 0 : it->second.generation;
