--- a/src/fakes/controlharness.cpp
+++ b/src/fakes/controlharness.cpp
@@ -248,7 +248,7 @@
     return proposal;
 }
 
-void ControlHarness::saysLeaving(std::size_t index, const std::string &endpoint)
+void ControlHarness::reportLeaving(std::size_t index, const std::string &endpoint)
 {
     MembershipActions actions;
     m_nodes[index].membership.endpointReportedLeaving(endpoint, actions);
--- a/src/fakes/controlharness.h
+++ b/src/fakes/controlharness.h
@@ -68,7 +68,7 @@
     /// A proposal that puts one entry "rules/teams/NAME".
     static ConfigProposal teamProposal(const std::string &id, const std::string &team,
                                        double share);
-    void saysLeaving(std::size_t node, const std::string &endpoint);
+    void reportLeaving(std::size_t node, const std::string &endpoint);
     void listed(std::size_t node, const std::vector<ListedInstance> &list);
     void leave(std::size_t node);
 
