--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -153,7 +153,7 @@
     bool apply(const MemberStatus &news, Time now, MembershipActions &actions);
     void apply(const EndpointStatus &news, MembershipActions &actions);
     void refute(const MemberStatus &news);
-    bool attachDoubt(const MemberStatus &from, PeerMessage &reply) const;
+    bool attachSuspicion(const MemberStatus &from, PeerMessage &reply) const;
     void setState(Member &member, MemberState state, Time now, MembershipActions &actions);
     PeerMessage message(PeerMessage::Kind kind, std::uint64_t sequence);
     void attachNews(PeerMessage &message);
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -280,7 +280,7 @@
     switch (incoming.kind) {
     case PeerMessage::Kind::Ping: {
         PeerMessage ack = message(PeerMessage::Kind::Ack, incoming.sequence);
-        attachDoubt(incoming.from, ack);
+        attachSuspicion(incoming.from, ack);
         if (incoming.knownMembers < m_members.size() / 2) {
             // Someone new, or back after long: the whole list at once.
             ack.members.clear();
@@ -296,7 +296,7 @@
         if (m_probe && m_probe->sequence == incoming.sequence)
             m_probe.reset();
         PeerMessage doubt = message(PeerMessage::Kind::Ping, m_sequence + 1);
-        if (attachDoubt(incoming.from, doubt)) {
+        if (attachSuspicion(incoming.from, doubt)) {
             ++m_sequence;
             actions.push_back(SendToPeer {incoming.from.address, std::move(doubt)});
         }
@@ -319,7 +319,7 @@
     }
 }
 
-bool Membership::attachDoubt(const MemberStatus &from, PeerMessage &reply) const
+bool Membership::attachSuspicion(const MemberStatus &from, PeerMessage &reply) const
 {
     // One that speaks is alive, but its word does not go before news of the
     // same incarnation: it has to be told what is said of it, to refute it.
