--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -172,7 +172,7 @@
     std::set<std::string> m_addresses; ///< to look for peers at
     std::deque<std::string> m_order; ///< names to probe next
     std::optional<Probe> m_probe;
-    std::map<std::uint64_t, RelayedPing> m_favours; ///< by the sequence of the own ping
+    std::map<std::uint64_t, RelayedPing> m_relayedPings; ///< by the sequence of the own ping
     std::vector<Demand> m_demand;
     ConfigHead m_head;
     std::uint64_t m_sequence = 0;
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -145,7 +145,7 @@
         probeNext(now, actions);
         if (m_periods++ % m_settings.rejoinProbeEvery == 0)
             healOne(actions);
-        std::erase_if(m_favours,
+        std::erase_if(m_relayedPings,
                       [&](const auto &item) { return now - item.second.at > FavourLifetime; });
     }
     m_nextWakeup = m_nextPeriod;
@@ -300,16 +300,16 @@
             ++m_sequence;
             actions.push_back(SendToPeer {incoming.from.address, std::move(doubt)});
         }
-        const auto favour = m_favours.find(incoming.sequence);
-        if (favour == m_favours.end())
+        const auto favour = m_relayedPings.find(incoming.sequence);
+        if (favour == m_relayedPings.end())
             break;
         PeerMessage relayed = message(PeerMessage::Kind::Ack, favour->second.requesterSequence);
         actions.push_back(SendToPeer {favour->second.requester, std::move(relayed)});
-        m_favours.erase(favour);
+        m_relayedPings.erase(favour);
         break;
     }
     case PeerMessage::Kind::PingRequest: {
-        m_favours[++m_sequence] = {incoming.from.address, incoming.sequence, now};
+        m_relayedPings[++m_sequence] = {incoming.from.address, incoming.sequence, now};
         actions.push_back(
             SendToPeer {incoming.target.address, message(PeerMessage::Kind::Ping, m_sequence)});
         break;
