--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -148,7 +148,7 @@
     void probeNext(Time now, MembershipActions &actions);
     void checkProbe(Time now, MembershipActions &actions);
     void expireSuspects(Time now, MembershipActions &actions);
-    void healOne(MembershipActions &actions);
+    void probeUnreachable(MembershipActions &actions);
     void heard(const PeerMessage &message, Time now, MembershipActions &actions);
     bool apply(const MemberStatus &news, Time now, MembershipActions &actions);
     void apply(const EndpointStatus &news, MembershipActions &actions);
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -144,7 +144,7 @@
         m_nextPeriod = now + m_settings.period;
         probeNext(now, actions);
         if (m_periods++ % m_settings.rejoinProbeEvery == 0)
-            healOne(actions);
+            probeUnreachable(actions);
         std::erase_if(m_relayedPings,
                       [&](const auto &item) { return now - item.second.at > FavourLifetime; });
     }
@@ -252,7 +252,7 @@
     });
 }
 
-void Membership::healOne(MembershipActions &actions)
+void Membership::probeUnreachable(MembershipActions &actions)
 {
     // Two sides of a healed partition believe each other dead and would never
     // speak again. One address of those believed gone, or not met yet, is
