--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -160,7 +160,7 @@
     void spread(const std::string &name, bool endpoint);
     std::uint32_t transmissions() const;
     Duration suspicionTime() const;
-    void askHelpers(const MemberStatus &target, MembershipActions &actions);
+    void requestIndirectProbes(const MemberStatus &target, MembershipActions &actions);
     std::vector<const Member *> candidates(const std::string &except) const;
 
     MembershipSettings m_settings;
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -178,7 +178,7 @@
     }
 }
 
-void Membership::askHelpers(const MemberStatus &target, MembershipActions &actions)
+void Membership::requestIndirectProbes(const MemberStatus &target, MembershipActions &actions)
 {
     auto helpers = candidates(target.name);
     std::shuffle(helpers.begin(), helpers.end(), m_random);
@@ -208,7 +208,7 @@
     }
     if (m_probe->steps == 1 && now - m_probe->sentAt >= 2 * m_settings.ackTimeout) {
         m_probe->steps = 2;
-        askHelpers(it->second.news, actions);
+        requestIndirectProbes(it->second.news, actions);
     }
     if (now - m_probe->sentAt >= m_settings.period) {
         if (it->second.news.state == MemberState::Alive)
