--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -156,7 +156,7 @@
     bool attachSuspicion(const MemberStatus &from, PeerMessage &reply) const;
     void setState(Member &member, MemberState state, Time now, MembershipActions &actions);
     PeerMessage message(PeerMessage::Kind kind, std::uint64_t sequence);
-    void attachNews(PeerMessage &message);
+    void attachUpdates(PeerMessage &message);
     void spread(const std::string &name, bool endpoint);
     std::uint32_t transmissions() const;
     Duration suspicionTime() const;
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -97,11 +97,11 @@
     result.sequence = sequence;
     result.knownMembers = static_cast<std::uint32_t>(m_members.size());
     result.head = m_head;
-    attachNews(result);
+    attachUpdates(result);
     return result;
 }
 
-void Membership::attachNews(PeerMessage &message)
+void Membership::attachUpdates(PeerMessage &message)
 {
     // What has been sent least goes first, so that fresh news is not held up.
     std::vector<std::pair<std::uint32_t, std::string>> order;
