--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -157,7 +157,7 @@
     void setState(Member &member, MemberState state, Time now, MembershipActions &actions);
     PeerMessage message(PeerMessage::Kind kind, std::uint64_t sequence);
     void attachUpdates(PeerMessage &message);
-    void spread(const std::string &name, bool endpoint);
+    void queueUpdate(const std::string &name, bool endpoint);
     std::uint32_t transmissions() const;
     Duration suspicionTime() const;
     void requestIndirectProbes(const MemberStatus &target, MembershipActions &actions);
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -44,7 +44,7 @@
     , m_addresses(m_settings.seeds.begin(), m_settings.seeds.end())
 {
     // Something to say about itself from the start.
-    spread(m_settings.name, false);
+    queueUpdate(m_settings.name, false);
 }
 
 MemberStatus Membership::self() const
@@ -84,7 +84,7 @@
     return static_cast<std::uint32_t>(std::ceil(SpreadFactor * std::log2(fleet)));
 }
 
-void Membership::spread(const std::string &name, bool endpoint)
+void Membership::queueUpdate(const std::string &name, bool endpoint)
 {
     m_news[(endpoint ? "e/" : "m/") + name] = {transmissions(), endpoint};
 }
@@ -232,7 +232,7 @@
 {
     member.news.state = state;
     member.changedAt = now;
-    spread(member.news.name, false);
+    queueUpdate(member.news.name, false);
     actions.push_back(MemberChanged {member.news});
 }
 
@@ -358,7 +358,7 @@
     if (!wrong || news.incarnation < m_settings.incarnation)
         return;
     m_settings.incarnation = news.incarnation + 1;
-    spread(m_settings.name, false);
+    queueUpdate(m_settings.name, false);
 }
 
 bool Membership::apply(const MemberStatus &news, Time now, MembershipActions &actions)
@@ -377,7 +377,7 @@
         Member &member = m_members[news.name];
         member.news = news;
         member.changedAt = member.lastMessageAt = now;
-        spread(news.name, false);
+        queueUpdate(news.name, false);
         actions.push_back(MemberChanged {news});
         return true;
     }
@@ -391,7 +391,7 @@
         ++m_falseSuspicions;
     member.news = news;
     member.changedAt = now;
-    spread(news.name, false);
+    queueUpdate(news.name, false);
     if (changed)
         actions.push_back(MemberChanged {news});
     return true;
@@ -409,7 +409,7 @@
     known = news;
     if (!changed)
         return;
-    spread(news.name, true);
+    queueUpdate(news.name, true);
     actions.push_back(SetEndpointLeaving {news.name, news.leaving});
 }
 
