--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -158,7 +158,7 @@
     PeerMessage message(PeerMessage::Kind kind, std::uint64_t sequence);
     void attachUpdates(PeerMessage &message);
     void queueUpdate(const std::string &name, bool endpoint);
-    std::uint32_t transmissions() const;
+    std::uint32_t maxTransmissions() const;
     Duration suspicionTime() const;
     void requestIndirectProbes(const MemberStatus &target, MembershipActions &actions);
     std::vector<const Member *> candidates(const std::string &except) const;
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -78,7 +78,7 @@
     return static_cast<std::size_t>(live) + 1;
 }
 
-std::uint32_t Membership::transmissions() const
+std::uint32_t Membership::maxTransmissions() const
 {
     const double fleet = static_cast<double>(m_members.size()) + 2;
     return static_cast<std::uint32_t>(std::ceil(SpreadFactor * std::log2(fleet)));
@@ -86,7 +86,7 @@
 
 void Membership::queueUpdate(const std::string &name, bool endpoint)
 {
-    m_news[(endpoint ? "e/" : "m/") + name] = {transmissions(), endpoint};
+    m_news[(endpoint ? "e/" : "m/") + name] = {maxTransmissions(), endpoint};
 }
 
 PeerMessage Membership::message(PeerMessage::Kind kind, std::uint64_t sequence)
