--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -51,7 +51,7 @@
     void propose(ConfigProposal proposal, std::function<void(ProposalOutcome)> callback);
     const ConfigManager &configuration() const { return m_config; }
     const Membership &membership() const { return m_membership; }
-    const LeaseKeeper &lease() const { return m_lease; }
+    const LeaseManager &lease() const { return m_lease; }
     std::vector<std::string> explainPlacement() const { return m_placement.explain(); }
     const std::string &peerAddress() const { return m_peers.address(); }
     const DaemonSettings &settings() const { return m_settings; }
@@ -113,7 +113,7 @@
     ClaimManager m_claims;
     PeerSocket m_peers;
     Membership m_membership;
-    LeaseKeeper m_lease;
+    LeaseManager m_lease;
     PlacementManager m_placement;
     HttpClient m_engineClient;
     ConfigPtr m_inForce;
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -152,7 +152,7 @@
     InstanceList m_instanceList;
     std::vector<PeerInstance> m_instances; ///< as counted last
     Duration m_toldClock {}; ///< see InstancesKnown
-    LeaseKeeper m_lease;
+    LeaseManager m_lease;
     LayerPlanner m_planner;
     GapFiller m_filler;
     Time m_writtenAt {};
--- a/src/include/balsamloft/lease.h
+++ b/src/include/balsamloft/lease.h
@@ -9,7 +9,7 @@
 
 namespace balsamloft {
 
-/// Settings of a LeaseKeeper.
+/// Settings of a LeaseManager.
 struct LeaseSettings
 {
     std::string key; ///< row of the lease
@@ -40,10 +40,10 @@
 /// Acquires and renews a lease. No clock is compared between processes: the
 /// holder counts its time from before it sent the write, and another process
 /// takes over only after it has itself seen the row unchanged for longer.
-class LeaseKeeper
+class LeaseManager
 {
 public:
-    explicit LeaseKeeper(LeaseSettings settings);
+    explicit LeaseManager(LeaseSettings settings);
 
     // Commands
 
--- a/src/libbalsamloft/lease.cpp
+++ b/src/libbalsamloft/lease.cpp
@@ -39,18 +39,18 @@
 
 } // namespace
 
-LeaseKeeper::LeaseKeeper(LeaseSettings settings)
+LeaseManager::LeaseManager(LeaseSettings settings)
     : m_settings(std::move(settings))
 {
 }
 
-void LeaseKeeper::lose()
+void LeaseManager::lose()
 {
     m_holding = false;
     m_heldUntil = Time {};
 }
 
-void LeaseKeeper::tick(Time now, LeaseActions &actions)
+void LeaseManager::tick(Time now, LeaseActions &actions)
 {
     if (m_holding && now >= m_heldUntil)
         lose();
@@ -63,7 +63,7 @@
     actions.push_back(ReadLease {m_readId, m_settings.key});
 }
 
-void LeaseKeeper::write(std::uint64_t version, std::uint64_t fencing, bool release, Time now,
+void LeaseManager::write(std::uint64_t version, std::uint64_t fencing, bool release, Time now,
                         LeaseActions &actions)
 {
     m_write = Write {m_nextId++, version, fencing, now, release};
@@ -74,7 +74,7 @@
     actions.push_back(WriteLease {m_write->id, std::move(transaction)});
 }
 
-void LeaseKeeper::granted(const Write &write, std::uint64_t version)
+void LeaseManager::granted(const Write &write, std::uint64_t version)
 {
     m_rowVersion = version;
     m_write.reset();
@@ -90,7 +90,7 @@
     m_heldUntil = write.sentAt + m_settings.duration;
 }
 
-void LeaseKeeper::writeDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
+void LeaseManager::writeDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
                             LeaseActions &actions)
 {
     if (!m_write || m_write->id != id)
@@ -117,7 +117,7 @@
         lose();
 }
 
-void LeaseKeeper::readDone(std::uint64_t id, const ReadOutcome &outcome, Time now,
+void LeaseManager::readDone(std::uint64_t id, const ReadOutcome &outcome, Time now,
                            LeaseActions &actions)
 {
     if (id != m_readId || outcome.kind == ReadOutcome::Kind::Unavailable)
@@ -154,7 +154,7 @@
         write(version, row.fencing + 1, false, now, actions);
 }
 
-void LeaseKeeper::release(Time now, LeaseActions &actions)
+void LeaseManager::release(Time now, LeaseActions &actions)
 {
     if (!holds(now))
         return;
--- a/src/libbalsamloft/lease_test.cpp
+++ b/src/libbalsamloft/lease_test.cpp
@@ -54,7 +54,7 @@
         }
     }
 
-    LeaseKeeper keeper;
+    LeaseManager keeper;
     bool cut = false;
     int loseAnswers = 0;
     Duration latency {0};
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -145,7 +145,7 @@
     rc::prop("three processes, random pauses and lost answers", [] {
         const auto schedule = *rc::gen::container<std::vector<int>>(200, rc::gen::inRange(0, 64));
         TableModel tables;
-        std::vector<LeaseKeeper> keepers;
+        std::vector<LeaseManager> keepers;
         for (int i = 0; i < 3; ++i)
             keepers.emplace_back(LeaseSettings {.key = "l", .holder = "h" + std::to_string(i)});
         std::map<std::uint64_t, std::size_t> holders; // by fencing number
