--- a/src/balsamloftd/trafficworker.cpp
+++ b/src/balsamloftd/trafficworker.cpp
@@ -251,7 +251,7 @@
         exchange->respond(std::move(response));
     };
     if (!m_router.config()) {
-        const RefuseRequest refusal {id, RefusalCode::NotReady, "no configuration yet", Ran::No,
+        const RefuseRequest refusal {id, RefusalCode::NotReady, "no configuration yet", Executed::No,
                                      std::chrono::seconds(1)};
         return refuseEarly(refusalResponse(refusal));
     }
--- a/src/include/balsamloft/actions.h
+++ b/src/include/balsamloft/actions.h
@@ -173,7 +173,7 @@
     RequestId request = 0;
     RefusalCode code = RefusalCode::NotReady;
     std::string message;
-    Ran ran = Ran::No;
+    Executed ran = Executed::No;
     Duration retryAfter {}; ///< zero: coming back makes no sense
 };
 
--- a/src/include/balsamloft/types.h
+++ b/src/include/balsamloft/types.h
@@ -37,7 +37,7 @@
 inline constexpr std::size_t PriorityCount = 3;
 
 /// What is known about whether a refused request was executed.
-enum class Ran : std::uint8_t {
+enum class Executed : std::uint8_t {
     No, ///< a promise: no endpoint executed any part of the request
     Unknown, ///< it may have been executed, wholly or in part
 };
@@ -67,6 +67,6 @@
 std::string_view toString(Priority priority);
 
 /// Returns "no" or "unknown", as refusals spell it.
-std::string_view toString(Ran ran);
+std::string_view toString(Executed ran);
 
 } // namespace balsamloft
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -307,7 +307,7 @@
             if (record.answer)
                 RC_ASSERT(record.answer->body == whole);
             // A restart drops an engine's log, so this can only find too few.
-            if (record.refusal && record.refusal->ran == Ran::No)
+            if (record.refusal && record.refusal->ran == Executed::No)
                 RC_ASSERT(attempts[id].empty());
             if (record.request.nonIdempotent)
                 RC_ASSERT(attempts[id].size() <= 1U);
--- a/src/libbalsamloft/router_test.cpp
+++ b/src/libbalsamloft/router_test.cpp
@@ -191,7 +191,7 @@
     const CallerRecord &record = harness.record(id);
     REQUIRE(record.refusal);
     CHECK(record.refusal->code == RefusalCode::EndpointFailed);
-    CHECK(record.refusal->ran == Ran::Unknown);
+    CHECK(record.refusal->ran == Executed::Unknown);
     CHECK(harness.router(0).counters().dispatched == 1);
 }
 
@@ -208,7 +208,7 @@
     const CallerRecord &record = harness.record(id);
     REQUIRE(record.refusal);
     CHECK(record.refusal->code == RefusalCode::NoEndpoint);
-    CHECK(record.refusal->ran == Ran::No);
+    CHECK(record.refusal->ran == Executed::No);
     CHECK(record.refusal->retryAfter > Duration::zero());
     CHECK(record.finishedAt - record.submittedAt < std::chrono::seconds(10));
 }
@@ -271,7 +271,7 @@
     const CallerRecord &record = harness.record(id);
     REQUIRE(record.refusal);
     CHECK(record.refusal->code == RefusalCode::DeadlineUnmeetable);
-    CHECK(record.refusal->ran == Ran::No);
+    CHECK(record.refusal->ran == Executed::No);
     CHECK(record.refusal->retryAfter > Duration::zero());
 }
 
@@ -286,7 +286,7 @@
     CHECK(harness.record(running).answer);
     REQUIRE(harness.record(refused).refusal);
     CHECK(harness.record(refused).refusal->code == RefusalCode::Draining);
-    CHECK(harness.record(refused).refusal->ran == Ran::No);
+    CHECK(harness.record(refused).refusal->ran == Executed::No);
 }
 
 TEST_CASE("one key sent through two instances runs once", "[router][claims]")
@@ -309,7 +309,7 @@
     const CallerRecord &loser = harness.record(firstWon ? second : first);
     REQUIRE(loser.refusal);
     CHECK(loser.refusal->code == RefusalCode::DuplicateInProgress);
-    CHECK(loser.refusal->ran == Ran::Unknown);
+    CHECK(loser.refusal->ran == Executed::Unknown);
     REQUIRE(harness.record(third).answer);
     CHECK(harness.record(third).answer->replayed);
     CHECK(harness.record(third).answer->body == expected(harness.record(third)));
@@ -345,7 +345,7 @@
     harness.runFor(std::chrono::seconds(10));
     REQUIRE(harness.record(id).refusal);
     CHECK(harness.record(id).refusal->code == RefusalCode::ClaimUnavailable);
-    CHECK(harness.record(id).refusal->ran == Ran::No);
+    CHECK(harness.record(id).refusal->ran == Executed::No);
     CHECK(harness.record(id).finishedAt - harness.record(id).submittedAt < std::chrono::seconds(5));
     harness.tablesDown = false;
     harness.runFor(std::chrono::seconds(5));
@@ -386,7 +386,7 @@
         if (const auto *settle = std::get_if<SettleClaim>(&action))
             freed = settle->end == ClaimEnd::NotRun;
         if (const auto *refuse = std::get_if<RefuseRequest>(&action))
-            refused = refuse->ran == Ran::No;
+            refused = refuse->ran == Executed::No;
     }
     CHECK(freed);
     CHECK(refused);
--- a/src/libbalsamloft/routeradmission.cpp
+++ b/src/libbalsamloft/routeradmission.cpp
@@ -196,7 +196,7 @@
         const Duration retryAfter(
             static_cast<std::int64_t>(static_cast<double>(denial.retryAfter.count()) * jitter()));
         actions.push_back(
-            RefuseRequest {id, denial.code, std::move(denial.message), Ran::No, retryAfter});
+            RefuseRequest {id, denial.code, std::move(denial.message), Executed::No, retryAfter});
     };
     if (m_draining)
         return deny({RefusalCode::Draining, "this instance is shutting down", ShortestRetryAfter});
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -264,14 +264,14 @@
 {
     const RequestId id = flight.request.id;
     Target &target = targetOf(flight);
-    const Ran ran = flight.mayHaveExecuted ? Ran::Unknown : Ran::No;
-    ++(ran == Ran::No ? m_counters.refusedNotExecuted : m_counters.refusedOutcomeUnknown);
+    const Executed ran = flight.mayHaveExecuted ? Executed::Unknown : Executed::No;
+    ++(ran == Executed::No ? m_counters.refusedNotExecuted : m_counters.refusedOutcomeUnknown);
     m_trace.add(id, now, "refused: " + std::string(toString(code)) + ": " + message);
     if (flight.state == FlightState::Running)
         cancelStages(flight, NoEndpoint, actions);
     if (flight.claimed)
         actions.push_back(
-            SettleClaim {id, ran == Ran::No ? ClaimEnd::NotRun : ClaimEnd::Unknown, {}});
+            SettleClaim {id, ran == Executed::No ? ClaimEnd::NotRun : ClaimEnd::Unknown, {}});
     target.queue.remove(id);
     release(flight, now);
     remove(flight);
--- a/src/libbalsamloft/types.cpp
+++ b/src/libbalsamloft/types.cpp
@@ -25,9 +25,9 @@
     return "normal";
 }
 
-std::string_view toString(Ran ran)
+std::string_view toString(Executed ran)
 {
-    return ran == Ran::No ? "no" : "unknown";
+    return ran == Executed::No ? "no" : "unknown";
 }
 
 } // namespace balsamloft
