--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -176,7 +176,7 @@
      "if (flight.retries + 1 >= m_settings.maxAttempts)", "if (true)",
      "router_test: a killed stage: the stream goes on elsewhere, unbroken"),
     ("refused connection proves not run", "src/libbalsamloft/routerfailures.cpp",
-     "const bool nothingRan = provesNotRun(kind)", "const bool nothingRan = false && provesNotRun(kind)",
+     "const bool nothingRan = provesNotExecuted(kind)", "const bool nothingRan = false && provesNotExecuted(kind)",
      "router_test: a refused connection proves that nothing ran"),
     ("leaving endpoints skipped", "src/libbalsamloft/loadview.cpp",
      "state.configured && !state.leaving && ", "state.configured && ",
--- a/src/include/balsamloft/actions.h
+++ b/src/include/balsamloft/actions.h
@@ -103,7 +103,7 @@
 std::string_view toString(FailureKind kind);
 
 /// Returns whether \a kind proves that the step or call was not executed.
-bool provesNotRun(FailureKind kind);
+bool provesNotExecuted(FailureKind kind);
 
 /// What the table service said about the claim of a key.
 struct ClaimAnswer
--- a/src/libbalsamloft/actions.cpp
+++ b/src/libbalsamloft/actions.cpp
@@ -62,7 +62,7 @@
     return "unknown";
 }
 
-bool provesNotRun(FailureKind kind)
+bool provesNotExecuted(FailureKind kind)
 {
     return kind == FailureKind::NotSent || kind == FailureKind::Busy || kind == FailureKind::Leaving
            || kind == FailureKind::StateLost;
--- a/src/libbalsamloft/routerfailures.cpp
+++ b/src/libbalsamloft/routerfailures.cpp
@@ -41,7 +41,7 @@
     const EndpointId endpoint = flight.chain[flight.stage].endpoint;
     // The first step of an attempt that provably did not run: then nothing of
     // this attempt did. Later steps follow ones that have run.
-    const bool nothingRan = provesNotRun(kind) && flight.prefillPass && flight.stage == 0;
+    const bool nothingRan = provesNotExecuted(kind) && flight.prefillPass && flight.stage == 0;
     if (nothingRan) {
         flight.attemptMayHaveExecuted = false;
         flight.mayHaveExecuted = flight.retries > 0 || !flight.tokens.empty();
