--- a/src/include/balsamloft/actions.h
+++ b/src/include/balsamloft/actions.h
@@ -120,7 +120,7 @@
 };
 
 /// How a claim ends.
-enum class ClaimEnd : std::uint8_t {
+enum class ClaimOutcome : std::uint8_t {
     Finished, ///< executed; the answer is kept for repeats
     NotRun, ///< nothing was executed; the key is free again
     Unknown, ///< may have been executed; the key stays taken
@@ -189,7 +189,7 @@
 struct SettleClaim
 {
     RequestId request = 0;
-    ClaimEnd end = ClaimEnd::Unknown;
+    ClaimOutcome end = ClaimOutcome::Unknown;
     Answer answer;
 };
 
--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -69,7 +69,7 @@
     // Commands
 
     void claim(ClaimOwner owner, const StartClaim &claim, Time now, ClaimActions &actions);
-    void settle(ClaimOwner owner, ClaimEnd end, const Answer &answer, Time now,
+    void settle(ClaimOwner owner, ClaimOutcome end, const Answer &answer, Time now,
                 ClaimActions &actions);
     void transactionDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
                          ClaimActions &actions);
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -59,7 +59,7 @@
     flush(now, actions);
 }
 
-void ClaimManager::settle(ClaimOwner owner, ClaimEnd end, const Answer &answer, Time now,
+void ClaimManager::settle(ClaimOwner owner, ClaimOutcome end, const Answer &answer, Time now,
                          ClaimActions &actions)
 {
     const auto it = m_won.find(owner);
@@ -67,13 +67,13 @@
         return;
     const Claim claim = std::move(it->second);
     m_won.erase(it);
-    if (end == ClaimEnd::Unknown)
+    if (end == ClaimOutcome::Unknown)
         return; // the row stays as it is: claimed, and never taken over
     Settle settle;
     settle.rowKey = claim.rowKey;
     settle.version = claim.version;
     settle.value = json::serialize(json::object {{"state", FreeState}});
-    if (end == ClaimEnd::Finished)
+    if (end == ClaimOutcome::Finished)
         settle.value = finishedValue(claim.nonce, claim.contentDigest, answer,
                                      answer.body.size() <= m_settings.maxStoredAnswerBytes);
     if (m_settles.size() >= m_settings.maxUnresolved) {
@@ -325,7 +325,7 @@
     // Its request was answered "not run" meanwhile: the row must not stay and
     // turn the caller's next try away.
     if (abandoned)
-        return settle(owner, ClaimEnd::NotRun, {}, now, actions);
+        return settle(owner, ClaimOutcome::NotRun, {}, now, actions);
     actions.push_back(ClaimDecided {owner, {ClaimAnswer::Kind::Won, {}}});
 }
 
--- a/src/libbalsamloft/claims_test.cpp
+++ b/src/libbalsamloft/claims_test.cpp
@@ -55,7 +55,7 @@
     a.transactionDone(claimA.id, tables.transact(claimA.transaction), at(1), actions);
     REQUIRE(won(actions));
     actions.clear();
-    a.settle({0, 1}, ClaimEnd::NotRun, {}, at(2), actions);
+    a.settle({0, 1}, ClaimOutcome::NotRun, {}, at(2), actions);
     const RunClaimTransaction release = onlyTransaction(actions);
     actions.clear();
     REQUIRE(tables.transact(release.transaction).kind == TransactionOutcome::Kind::Committed);
@@ -124,7 +124,7 @@
         actions.clear();
     }
     for (RequestId request = 1; request <= 20; ++request) {
-        keeper.settle({0, request}, ClaimEnd::Finished, {}, at(1), actions);
+        keeper.settle({0, request}, ClaimOutcome::Finished, {}, at(1), actions);
         for (const ClaimAction &action : std::exchange(actions, {})) {
             const auto &transact = std::get<RunClaimTransaction>(action);
             keeper.transactionDone(transact.id, {TransactionOutcome::Kind::NotCommitted, {}}, at(1),
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -103,7 +103,7 @@
             Answer answer;
             answer.body = "answer to " + m_keys[owner];
             ClaimActions actions;
-            m_keepers[owner.worker].settle(owner, ClaimEnd::Finished, answer, m_now, actions);
+            m_keepers[owner.worker].settle(owner, ClaimOutcome::Finished, answer, m_now, actions);
             perform(owner.worker, actions);
         }
     }
