--- a/src/include/balsamloft/actions.h
+++ b/src/include/balsamloft/actions.h
@@ -122,7 +122,7 @@
 /// How a claim ends.
 enum class ClaimOutcome : std::uint8_t {
     Finished, ///< executed; the answer is kept for repeats
-    NotRun, ///< nothing was executed; the key is free again
+    NotExecuted, ///< nothing was executed; the key is free again
     Unknown, ///< may have been executed; the key stays taken
 };
 
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -325,7 +325,7 @@
     // Its request was answered "not run" meanwhile: the row must not stay and
     // turn the caller's next try away.
     if (abandoned)
-        return settle(owner, ClaimOutcome::NotRun, {}, now, actions);
+        return settle(owner, ClaimOutcome::NotExecuted, {}, now, actions);
     actions.push_back(ClaimDecided {owner, {ClaimAnswer::Kind::Won, {}}});
 }
 
--- a/src/libbalsamloft/claims_test.cpp
+++ b/src/libbalsamloft/claims_test.cpp
@@ -55,7 +55,7 @@
     a.transactionDone(claimA.id, tables.transact(claimA.transaction), at(1), actions);
     REQUIRE(won(actions));
     actions.clear();
-    a.settle({0, 1}, ClaimOutcome::NotRun, {}, at(2), actions);
+    a.settle({0, 1}, ClaimOutcome::NotExecuted, {}, at(2), actions);
     const RunClaimTransaction release = onlyTransaction(actions);
     actions.clear();
     REQUIRE(tables.transact(release.transaction).kind == TransactionOutcome::Kind::Committed);
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -271,7 +271,7 @@
         cancelStages(flight, NoEndpoint, actions);
     if (flight.claimed)
         actions.push_back(
-            SettleClaim {id, ran == Executed::No ? ClaimOutcome::NotRun : ClaimOutcome::Unknown, {}});
+            SettleClaim {id, ran == Executed::No ? ClaimOutcome::NotExecuted : ClaimOutcome::Unknown, {}});
     target.queue.remove(id);
     release(flight, now);
     remove(flight);
