--- a/src/balsamloftd/controlplane.cpp
+++ b/src/balsamloftd/controlplane.cpp
@@ -131,7 +131,7 @@
     });
 }
 
-void ControlPlane::resolveClaim(std::uint32_t worker, SettleClaim settle)
+void ControlPlane::resolveClaim(std::uint32_t worker, ResolveClaim settle)
 {
     asio::post(m_context, [this, worker, settle = std::move(settle)] {
         ClaimActions actions;
--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -35,7 +35,7 @@
     // From any thread
 
     void startClaim(std::uint32_t worker, StartClaim claim) override;
-    void resolveClaim(std::uint32_t worker, SettleClaim settle) override;
+    void resolveClaim(std::uint32_t worker, ResolveClaim settle) override;
     void endpointReportedLeaving(std::string endpoint) override;
     void collectMetrics(std::function<void(std::string)> callback) override;
 
--- a/src/balsamloftd/trafficworker.cpp
+++ b/src/balsamloftd/trafficworker.cpp
@@ -500,7 +500,7 @@
     m_control.startClaim(m_settings.index, std::move(claim));
 }
 
-void TrafficWorker::operator()(SettleClaim &settle)
+void TrafficWorker::operator()(ResolveClaim &settle)
 {
     m_control.resolveClaim(m_settings.index, std::move(settle));
 }
--- a/src/balsamloftd/trafficworker.h
+++ b/src/balsamloftd/trafficworker.h
@@ -26,7 +26,7 @@
 public:
     virtual ~ControlLink() = default;
     virtual void startClaim(std::uint32_t worker, StartClaim claim) = 0;
-    virtual void resolveClaim(std::uint32_t worker, SettleClaim settle) = 0;
+    virtual void resolveClaim(std::uint32_t worker, ResolveClaim settle) = 0;
 
     virtual void endpointReportedLeaving(std::string endpoint) = 0;
 
@@ -109,7 +109,7 @@
     void operator()(FinishRequest &finish);
     void operator()(RefuseRequest &refuse);
     void operator()(StartClaim &claim);
-    void operator()(SettleClaim &settle);
+    void operator()(ResolveClaim &settle);
     void operator()(ProbeEndpoint &probe);
     void operator()(CloseConnections &close);
     void operator()(NoteLeaving &note);
--- a/src/fakes/routerharness.cpp
+++ b/src/fakes/routerharness.cpp
@@ -129,7 +129,7 @@
             ClaimActions claimActions;
             m_routers[router].claims.claim({0, claim->request}, *claim, m_now, claimActions);
             perform(router, claimActions);
-        } else if (auto *settle = std::get_if<SettleClaim>(&action)) {
+        } else if (auto *settle = std::get_if<ResolveClaim>(&action)) {
             ClaimActions claimActions;
             m_routers[router].claims.settle({0, settle->request}, settle->end, settle->answer,
                                             m_now, claimActions);
--- a/src/include/balsamloft/actions.h
+++ b/src/include/balsamloft/actions.h
@@ -186,7 +186,7 @@
     Time deadline {};
 };
 
-struct SettleClaim
+struct ResolveClaim
 {
     RequestId request = 0;
     ClaimOutcome end = ClaimOutcome::Unknown;
@@ -213,7 +213,7 @@
 
 using Action =
     std::variant<SendStep, CancelAttempt, SendCall, EmitToken, FinishRequest, RefuseRequest,
-                 StartClaim, SettleClaim, ProbeEndpoint, CloseConnections, NoteLeaving>;
+                 StartClaim, ResolveClaim, ProbeEndpoint, CloseConnections, NoteLeaving>;
 
 using Actions = std::vector<Action>;
 
--- a/src/libbalsamloft/router_test.cpp
+++ b/src/libbalsamloft/router_test.cpp
@@ -383,7 +383,7 @@
     bool refused = false;
     for (const Action &action : actions) {
         CHECK_FALSE(std::holds_alternative<SendStep>(action));
-        if (const auto *settle = std::get_if<SettleClaim>(&action))
+        if (const auto *settle = std::get_if<ResolveClaim>(&action))
             freed = settle->end == ClaimOutcome::NotExecuted;
         if (const auto *refuse = std::get_if<RefuseRequest>(&action))
             refused = refuse->ran == Executed::No;
--- a/src/libbalsamloft/routeradmission.cpp
+++ b/src/libbalsamloft/routeradmission.cpp
@@ -317,7 +317,7 @@
     if (!flight || flight->state != FlightState::Claiming) {
         // Given up on meanwhile: nothing was sent, so a key won is free again.
         if (answer.kind == ClaimAnswer::Kind::Won)
-            actions.push_back(SettleClaim {id, ClaimOutcome::NotExecuted, {}});
+            actions.push_back(ResolveClaim {id, ClaimOutcome::NotExecuted, {}});
         return;
     }
     switch (answer.kind) {
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -252,7 +252,7 @@
     if (!answer.replayed)
         noteFinished(target, flight.cost, now);
     if (flight.claimed)
-        actions.push_back(SettleClaim {id, ClaimOutcome::Finished, answer});
+        actions.push_back(ResolveClaim {id, ClaimOutcome::Finished, answer});
     release(flight, now);
     remove(flight);
     actions.push_back(FinishRequest {id, std::move(answer)});
@@ -271,7 +271,7 @@
         cancelStages(flight, NoEndpoint, actions);
     if (flight.claimed)
         actions.push_back(
-            SettleClaim {id, ran == Executed::No ? ClaimOutcome::NotExecuted : ClaimOutcome::Unknown, {}});
+            ResolveClaim {id, ran == Executed::No ? ClaimOutcome::NotExecuted : ClaimOutcome::Unknown, {}});
     target.queue.remove(id);
     release(flight, now);
     remove(flight);
