--- a/src/balsamloftd/trafficworker.cpp
+++ b/src/balsamloftd/trafficworker.cpp
@@ -522,7 +522,7 @@
         });
 }
 
-void TrafficWorker::operator()(NoteLeaving &note)
+void TrafficWorker::operator()(ReportLeaving &note)
 {
     m_control.endpointReportedLeaving(m_router.loads().state(note.endpoint).name);
 }
--- a/src/balsamloftd/trafficworker.h
+++ b/src/balsamloftd/trafficworker.h
@@ -112,7 +112,7 @@
     void operator()(ResolveClaim &settle);
     void operator()(ProbeEndpoint &probe);
     void operator()(CloseConnections &close);
-    void operator()(NoteLeaving &note);
+    void operator()(ReportLeaving &note);
 
     void stepReturned(const StepRef &ref, HttpResult result);
     void callReturned(RequestId id, std::uint32_t attempt, HttpResult result);
--- a/src/include/balsamloft/actions.h
+++ b/src/include/balsamloft/actions.h
@@ -206,14 +206,14 @@
 };
 
 /// The endpoint has said that it is shutting down: let the others know.
-struct NoteLeaving
+struct ReportLeaving
 {
     EndpointId endpoint = NoEndpoint;
 };
 
 using Action =
     std::variant<SendStep, CancelAttempt, SendCall, EmitToken, FinishRequest, RefuseRequest,
-                 StartClaim, ResolveClaim, ProbeEndpoint, CloseConnections, NoteLeaving>;
+                 StartClaim, ResolveClaim, ProbeEndpoint, CloseConnections, ReportLeaving>;
 
 using Actions = std::vector<Action>;
 
--- a/src/libbalsamloft/routerfailures.cpp
+++ b/src/libbalsamloft/routerfailures.cpp
@@ -154,7 +154,7 @@
     m_loads.reported(endpoint, load, now);
     if (wasLeaving || !load.leaving)
         return;
-    actions.push_back(NoteLeaving {endpoint});
+    actions.push_back(ReportLeaving {endpoint});
 }
 
 void Router::Impl::checkEndpoints(Time now, Actions &actions)
