--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -121,7 +121,7 @@
     logDecision(
         "quarantine", "not written",
         {{"records", std::int64_t(writes.size())}, {"failures", std::int64_t(m_crashFailures)}});
-    m_crashPauseUntil = now + doubled(FirstPause, m_crashFailures, MostPause);
+    m_crashPauseUntil = now + exponentialBackoff(FirstPause, m_crashFailures, MostPause);
     m_crashFailures += 1;
     // What was to be written to the same row since is newer.
     for (const RowWrite &each : writes)
--- a/src/include/balsamloft/types.h
+++ b/src/include/balsamloft/types.h
@@ -25,7 +25,7 @@
 
 /// A pause that grows with each failure in a row: \a first, doubled \a times times,
 /// at most \a most.
-Duration doubled(Duration first, std::uint32_t times, Duration most);
+Duration exponentialBackoff(Duration first, std::uint32_t times, Duration most);
 
 /// A readable reason, left behind by a call that returned a falsy result.
 using Reason = std::string;
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -233,7 +233,7 @@
 
 Duration ClaimManager::delay(std::uint32_t tries) const
 {
-    return doubled(m_settings.retryDelay, tries, m_settings.maxRetryDelay);
+    return exponentialBackoff(m_settings.retryDelay, tries, m_settings.maxRetryDelay);
 }
 
 void ClaimManager::retryLater(Claim &claim, Time now)
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -110,7 +110,7 @@
     EndpointState &state = m_states[id];
     state.window = state.own > 0 ? state.own - 1 : 0; // the one refused is still counted
     state.pausedUntil =
-        now + doubled(m_settings.initialBusyPause, state.consecutiveRefusals++, m_settings.maxBusyPause);
+        now + exponentialBackoff(m_settings.initialBusyPause, state.consecutiveRefusals++, m_settings.maxBusyPause);
 }
 
 void LoadView::accepted(EndpointId id)
@@ -158,7 +158,7 @@
     if (!silent && state.consecutiveFailures < m_settings.failuresToEject)
         return false;
     const Duration backoff =
-        doubled(m_settings.initialEjection, state.ejections, m_settings.maxEjection);
+        exponentialBackoff(m_settings.initialEjection, state.ejections, m_settings.maxEjection);
     // Only a probe ends it: with time alone, callers' requests would be what
     // finds out, again and again, that it is still gone.
     ++state.ejections;
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -74,7 +74,7 @@
     if (now < seen.unresponsiveUntil)
         return;
     seen.unresponsiveUntil =
-        now + (m_told ? doubled(SilentFor, seen.timeouts, MostSilentFor) : SilentAtStart);
+        now + (m_told ? exponentialBackoff(SilentFor, seen.timeouts, MostSilentFor) : SilentAtStart);
     seen.timeouts += 1;
 }
 
@@ -104,7 +104,7 @@
 {
     if (now < m_storeRetryAt)
         return;
-    const Duration most = doubled(FirstBackOff, m_storeFailures, MostBackOff);
+    const Duration most = exponentialBackoff(FirstBackOff, m_storeFailures, MostBackOff);
     m_storeFailures += 1;
     std::uniform_int_distribution<std::int64_t> jitter(most.count() / 4, most.count());
     m_storeRetryAt = now + Duration(jitter(m_random));
--- a/src/libbalsamloft/types.cpp
+++ b/src/libbalsamloft/types.cpp
@@ -4,7 +4,7 @@
 
 namespace balsamloft {
 
-Duration doubled(Duration first, std::uint32_t times, Duration most)
+Duration exponentialBackoff(Duration first, std::uint32_t times, Duration most)
 {
     Duration pause = first;
     for (; times > 0 && pause < most; --times)
