--- a/src/entry/connectionpool.cpp
+++ b/src/entry/connectionpool.cpp
@@ -99,7 +99,7 @@
 
 void Exchange::connect()
 {
-    const auto address = endpointFromText(m_settings.address);
+    const auto address = parseTcpEndpoint(m_settings.address);
     if (!address) {
         asio::post(m_pool.context(),
                    [self = shared_from_this()] { self->fail(AttemptFailure::NotSent); });
--- a/src/entry/settings.cpp
+++ b/src/entry/settings.cpp
@@ -27,7 +27,7 @@
 
 bool checked(std::string_view flag, const std::string &value, bool optional, Reason &reason)
 {
-    if ((optional && value.empty()) || endpointFromText(value))
+    if ((optional && value.empty()) || parseTcpEndpoint(value))
         return true;
     reason = "--" + std::string(flag) + ": '" + value + "' is no IP:port";
     return false;
--- a/src/entry/sockets.cpp
+++ b/src/entry/sockets.cpp
@@ -24,7 +24,7 @@
 
 bool listenAt(tcp::acceptor &acceptor, const std::string &address, Reason &reason)
 {
-    const auto endpoint = endpointFromText(address);
+    const auto endpoint = parseTcpEndpoint(address);
     boost::system::error_code error;
     acceptor.open(endpoint->protocol(), error);
     if (!error)
--- a/src/include/balsamloft/address.h
+++ b/src/include/balsamloft/address.h
@@ -11,6 +11,6 @@
 namespace balsamloft {
 
 /// The endpoint that "IP:port" names, or nothing.
-std::optional<boost::asio::ip::tcp::endpoint> endpointFromText(std::string_view text);
+std::optional<boost::asio::ip::tcp::endpoint> parseTcpEndpoint(std::string_view text);
 
 } // namespace balsamloft
--- a/src/libbalsamloft/address.cpp
+++ b/src/libbalsamloft/address.cpp
@@ -6,7 +6,7 @@
 
 namespace balsamloft {
 
-std::optional<tcp::endpoint> endpointFromText(std::string_view text)
+std::optional<tcp::endpoint> parseTcpEndpoint(std::string_view text)
 {
     const std::size_t colon = text.rfind(':');
     if (colon == std::string_view::npos)
