--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -87,7 +87,7 @@
     if (!listed)
         return;
     // Another process answers under the same name: the listed one is gone.
-    const bool replaced = report && report->ofAnotherThan(*listed);
+    const bool replaced = report && report->isFromOtherProcess(*listed);
     const bool answered = outcome.status == 200 && report && !replaced;
     AskedEngine &asked = m_asked[id];
     asked.asking = false;
@@ -247,7 +247,7 @@
                    const auto report = m_protocol.report(outcome.body, reason);
                    const FleetEndpoint *listed = m_fleetNow->find(order.endpoint);
                    if (outcome.status != 200 || !report || report->busy || !listed
-                       || report->ofAnotherThan(*listed)
+                       || report->isFromOtherProcess(*listed)
                        || (order.additive && !GapFiller::keepsHeldLayers(order, report->layers)))
                        return orderOutcome(order, OrderReply::Refused, outcome.status);
                    sendOrder(order, report->orders);
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -246,7 +246,7 @@
     const auto report = m_protocol.report(outcome.body, reason);
     const FleetEndpoint *asked = m_fleet->find(endpoint);
     // Another process answers under the same name: the one that was asked is gone.
-    const bool replaced = report && asked && report->ofAnotherThan(*asked);
+    const bool replaced = report && asked && report->isFromOtherProcess(*asked);
     const bool gone = outcome.status == 0 || replaced;
     if (outcome.status != 200 || !report || gone) {
         logDecision(
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -76,7 +76,7 @@
     std::vector<std::string> stalledAt; ///< addresses that do not answer it
 
     /// Whether another process answered than the one that \a endpoint lists.
-    bool ofAnotherThan(const FleetEndpoint &endpoint) const
+    bool isFromOtherProcess(const FleetEndpoint &endpoint) const
     {
         return startedAt != 0 && endpoint.startedAt != 0 && startedAt != endpoint.startedAt;
     }
