--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -270,7 +270,7 @@
             continue;
         Reason reason;
         std::vector<Reason> leftOut;
-        RouteMapPtr table = m_protocol.routeTable(row.value, leftOut, reason);
+        RouteMapPtr table = m_protocol.parseRouteTable(row.value, leftOut, reason);
         m_tableRow = row.version;
         for (const Reason &each : leftOut) {
             m_state.badRows += 1;
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -122,7 +122,7 @@
         return reply;
     }
 
-    RouteMapPtr routeTable(std::string_view body, std::vector<Reason> &leftOut,
+    RouteMapPtr parseRouteTable(std::string_view body, std::vector<Reason> &leftOut,
                            Reason &reason) const override
     {
         const auto object = parsed(body, reason);
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -103,7 +103,7 @@
     virtual StoreReply reply(int status, std::string_view body) const = 0;
 
     /// \a leftOut: reasons for entries that could not be taken over.
-    virtual RouteMapPtr routeTable(std::string_view text, std::vector<Reason> &leftOut,
+    virtual RouteMapPtr parseRouteTable(std::string_view text, std::vector<Reason> &leftOut,
                                    Reason &reason) const = 0;
     /// An endpoint's entry under the name \a id. Nothing when another writer than
     /// an endpoint wrote it: a field is missing, of another type, or unknown.
--- a/src/libweb/fuzzcases.cpp
+++ b/src/libweb/fuzzcases.cpp
@@ -89,7 +89,7 @@
     }
     protocol->report(value, reason);
     std::vector<Reason> leftOut;
-    protocol->routeTable(value, leftOut, reason);
+    protocol->parseRouteTable(value, leftOut, reason);
 }
 
 void messages(std::string_view bytes)
