--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -267,7 +267,7 @@
                    const OrderReply reply =
                        outcome.status == 0
                            ? (outcome.left ? OrderReply::Unknown : OrderReply::Refused)
-                           : m_protocol.orderReply(outcome.status);
+                           : m_protocol.parseOrderReply(outcome.status);
                    orderOutcome(order, reply, outcome.status);
                });
 }
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -212,7 +212,7 @@
                                               {"orders", expectedOrders},
                                               {"fencing", fencing}})};
     }
-    OrderReply orderReply(int status) const override
+    OrderReply parseOrderReply(int status) const override
     {
         return status == 200 ? OrderReply::Taken : OrderReply::Refused;
     }
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -114,7 +114,7 @@
     virtual std::optional<EngineReport> report(std::string_view body, Reason &reason) const = 0;
     virtual OutgoingCall order(const LayerOrder &order, std::uint64_t expectedOrders,
                                std::uint64_t fencing) const = 0;
-    virtual OrderReply orderReply(int status) const = 0;
+    virtual OrderReply parseOrderReply(int status) const = 0;
 
     /// How an engine answered changePath(), and the address of the engine at fault.
     virtual std::pair<PathReply, std::string> pathReply(int status,
