--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -278,7 +278,7 @@
               m_protocol.changePath(change.request, change.path), AnswerWithin,
               [this, flight = change.flight, attempt = change.attempt](const CallOutcome &outcome) {
                   RelayActions actions;
-                  const auto [reply, at] = m_protocol.pathReply(outcome.status, outcome.body);
+                  const auto [reply, at] = m_protocol.parsePathReply(outcome.status, outcome.body);
                   if (const auto it = m_flights.find(flight); it != m_flights.end())
                       it->second->note(reply == PathReply::Taken
                                            ? "path changed"
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -216,7 +216,7 @@
     {
         return status == 200 ? OrderReply::Taken : OrderReply::Refused;
     }
-    std::pair<PathReply, std::string> pathReply(int status,
+    std::pair<PathReply, std::string> parsePathReply(int status,
                                                 std::string_view /*body*/) const override
     {
         return {status == 200   ? PathReply::Taken
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -117,7 +117,7 @@
     virtual OrderReply parseOrderReply(int status) const = 0;
 
     /// How an engine answered changePath(), and the address of the engine at fault.
-    virtual std::pair<PathReply, std::string> pathReply(int status,
+    virtual std::pair<PathReply, std::string> parsePathReply(int status,
                                                         std::string_view body) const = 0;
 
     /// Has the first engine of \a path carry the request with id \a request on along it.
