--- a/src/entry/controlinstances.cpp
+++ b/src/entry/controlinstances.cpp
@@ -60,7 +60,7 @@
                        case StoreReply::Kind::Conflict:
                            outcome.kind = TransactionOutcome::Kind::Conflict;
                            break;
-                       case StoreReply::Kind::NotDone:
+                       case StoreReply::Kind::Rejected:
                            outcome.kind = TransactionOutcome::Kind::NotCommitted;
                            break;
                        default:
--- a/src/entry/storechannel.cpp
+++ b/src/entry/storechannel.cpp
@@ -53,7 +53,7 @@
     if (outcome.status != 0)
         answer.reply = m_protocol.reply(outcome.status, outcome.body);
     if (answer.reply.kind == StoreReply::Kind::Failed
-        || answer.reply.kind == StoreReply::Kind::NotDone)
+        || answer.reply.kind == StoreReply::Kind::Rejected)
         m_state.storeFailures += 1;
     m_running.reset();
     callback(std::move(answer));
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -105,7 +105,7 @@
         reply.kind = status == 200   ? StoreReply::Kind::Done
                      : status == 409 ? StoreReply::Kind::Conflict
                      : status == 410 ? StoreReply::Kind::HistoryGone
-                     : status == 503 ? StoreReply::Kind::NotDone
+                     : status == 503 ? StoreReply::Kind::Rejected
                                      : StoreReply::Kind::Failed;
         Reason reason;
         const auto object = parsed(body, reason);
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -52,7 +52,7 @@
         Done,
         Conflict, ///< a condition did not hold: nothing was written
         HistoryGone, ///< changes since then are no longer known: read anew
-        NotDone, ///< turned away: nothing was done
+        Rejected, ///< turned away: nothing was done
         Failed, ///< an answer that says nothing
     };
     Kind kind = Kind::Failed;
