--- a/src/entry/tablefollower.cpp
+++ b/src/entry/tablefollower.cpp
@@ -130,7 +130,7 @@
             return later(pace, [this] { watch(); });
         return watch();
     }
-    case StoreReply::Kind::HistoryGone:
+    case StoreReply::Kind::HistoryExpired:
         logDecision("store", "history gone", {{"table", std::string_view(m_settings.table)}});
         m_version = 0;
         return watch();
--- a/src/entry/tablefollower_test.cpp
+++ b/src/entry/tablefollower_test.cpp
@@ -46,7 +46,7 @@
     {
         m_answers.emplace_back();
         m_answers.back().answered = true;
-        m_answers.back().reply.kind = StoreReply::Kind::HistoryGone;
+        m_answers.back().reply.kind = StoreReply::Kind::HistoryExpired;
     }
 
     std::vector<std::uint64_t> asked; ///< after which versions
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -104,7 +104,7 @@
         StoreReply reply;
         reply.kind = status == 200   ? StoreReply::Kind::Done
                      : status == 409 ? StoreReply::Kind::Conflict
-                     : status == 410 ? StoreReply::Kind::HistoryGone
+                     : status == 410 ? StoreReply::Kind::HistoryExpired
                      : status == 503 ? StoreReply::Kind::Rejected
                                      : StoreReply::Kind::Failed;
         Reason reason;
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -51,7 +51,7 @@
     enum class Kind : std::uint8_t {
         Done,
         Conflict, ///< a condition did not hold: nothing was written
-        HistoryGone, ///< changes since then are no longer known: read anew
+        HistoryExpired, ///< changes since then are no longer known: read anew
         Rejected, ///< turned away: nothing was done
         Failed, ///< an answer that says nothing
     };
