--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -102,7 +102,7 @@
     AnswerHead answer;
     answer.status = head.status;
     answer.notExecuted = head.find(names.notExecuted).has_value();
-    answer.provenExecuted = head.find(names.seal).has_value();
+    answer.provenExecuted = head.find(names.executionProof).has_value();
     answer.atAddress = head.find(names.atAddress).value_or("");
     answer.running = numberFrom<std::uint32_t>(head.find(names.load).value_or(""));
     answer.rateLimit = numberFrom<double>(head.find(names.rateLimit).value_or(""));
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -60,7 +60,7 @@
             .tokenCount = "Tokens",
             .lengthHint = "Length-Hint",
             .lastEvent = "Last-Event-Id",
-            .seal = "Seal",
+            .executionProof = "Seal",
             .notExecuted = "Not-Run",
             .load = "Load",
             .atAddress = "At-Fault",
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -29,7 +29,7 @@
     std::string_view tokenCount; ///< "prompt,answer at most"
     std::string_view lengthHint; ///< expected tokens of the answer
     std::string_view lastEvent; ///< a stream goes on after this event
-    std::string_view seal; ///< mark of an endpoint's answer
+    std::string_view executionProof; ///< mark of an endpoint's answer
     std::string_view notExecuted; ///< the endpoint did not run the request
     std::string_view load; ///< "running,waiting,slots"
     std::string_view atAddress; ///< engine at fault
