--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -261,14 +261,14 @@
         return run(std::move(actions));
     }
     std::string stalled;
-    for (const std::string &each : report->stalledAt)
+    for (const std::string &each : report->stalledAddresses)
         stalled += (stalled.empty() ? "" : ",") + each;
     logDecision("engine", "reported",
                 {{"endpoint", std::string_view(endpoint)},
                  {"pace", report->pace},
                  {"stalled_at", std::string_view(stalled)}});
     m_relay.endpointAnswered(endpoint, askedAt);
-    m_relay.reported(endpoint, report->stalledAt, report->pace, steadyNow(), actions);
+    m_relay.reported(endpoint, report->stalledAddresses, report->pace, steadyNow(), actions);
     run(std::move(actions));
 }
 
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -73,7 +73,7 @@
     double used = 0; ///< KV memory that cannot yield, in tokens times layers
     std::uint32_t active = 0; ///< requests that run on it
     std::uint32_t queued = 0; ///< requests that wait there
-    std::vector<std::string> stalledAt; ///< addresses that do not answer it
+    std::vector<std::string> stalledAddresses; ///< addresses that do not answer it
 
     /// Whether another process answered than the one that \a endpoint lists.
     bool isFromOtherProcess(const FleetEndpoint &endpoint) const
