--- a/src/entry/tablesource.cpp
+++ b/src/entry/tablesource.cpp
@@ -34,7 +34,7 @@
 
 void StoreSource::read(const std::string &from, Duration /*wait*/, Callback callback)
 {
-    m_channel.call(StoreUse::ReadWhole, m_protocol.read(m_table, from), storeLimits({}),
+    m_channel.call(StoreUse::ReadSnapshot, m_protocol.read(m_table, from), storeLimits({}),
                    [this, callback = std::move(callback)](StoreAnswer answer) {
                        pass(std::move(answer), callback);
                    });
--- a/src/include/balsamloft/storeuse.h
+++ b/src/include/balsamloft/storeuse.h
@@ -10,7 +10,7 @@
 namespace balsamloft {
 
 /// What a call to the store is for.
-enum class StoreUse : std::uint8_t { Follow, ReadWhole, Lease, OwnRow };
+enum class StoreUse : std::uint8_t { Follow, ReadSnapshot, Lease, OwnRow };
 
 inline constexpr std::array<std::string_view, 4> StoreUseNames {"follow", "read_whole", "lease",
                                                                 "own_row"};
