--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -19,26 +19,26 @@
 /// How often what the store was asked for is logged.
 constexpr Duration LogCallsEvery {10'000'000};
 
-FollowerSettings followerSettings(NewsTable table)
+FollowerSettings followerSettings(SharedTable table)
 {
     FollowerSettings settings;
     switch (table) {
-    case NewsTable::Configuration:
+    case SharedTable::Configuration:
         settings.table = "configuration";
         break;
-    case NewsTable::Endpoints:
+    case SharedTable::Endpoints:
         settings.table = "endpoints";
         settings.pace = Duration(250'000);
         settings.peerPace = Duration(100'000);
         break;
-    case NewsTable::Instances:
+    case SharedTable::Instances:
         settings.table = "instances";
         settings.storeWait = Duration(10'000'000);
         settings.peerWait = Duration(10'000'000);
         settings.pace = Duration(5'000'000);
         settings.peerPace = Duration(4'000'000);
         break;
-    case NewsTable::Crashes:
+    case SharedTable::Crashes:
         settings.table = "crashes";
         settings.storeWait = Duration(10'000'000);
         settings.peerWait = Duration(10'000'000);
@@ -49,16 +49,16 @@
     return settings;
 }
 
-std::string_view tableName(const EntryProtocol &protocol, NewsTable table)
+std::string_view tableName(const EntryProtocol &protocol, SharedTable table)
 {
     switch (table) {
-    case NewsTable::Configuration:
+    case SharedTable::Configuration:
         return protocol.configurationTable();
-    case NewsTable::Endpoints:
+    case SharedTable::Endpoints:
         return protocol.endpointTable();
-    case NewsTable::Crashes:
+    case SharedTable::Crashes:
         return CrashTable;
-    case NewsTable::Instances:
+    case SharedTable::Instances:
         break;
     }
     return InstanceTable;
@@ -66,9 +66,9 @@
 
 /// Tables whose changes are waited for so long that an answer's age says nothing of
 /// the one who gave it.
-bool toldSeldom(NewsTable table)
+bool toldSeldom(SharedTable table)
 {
-    return table == NewsTable::Instances || table == NewsTable::Crashes;
+    return table == SharedTable::Instances || table == SharedTable::Crashes;
 }
 
 FleetSettings fleetSettings(const EntrySettings &settings)
@@ -134,7 +134,7 @@
     , m_trials(trialSettings(settings))
 {
     for (std::size_t i = 0; i < NewsTableCount; ++i) {
-        const auto table = static_cast<NewsTable>(i);
+        const auto table = static_cast<SharedTable>(i);
         m_storeSources[i] = std::make_unique<StoreSource>(context, settings.store, protocol, state,
                                                           std::string(tableName(protocol, table)));
         m_followers[i] =
@@ -151,7 +151,7 @@
 {
     // First who else is there: the other tables are then read from one that knows
     // them. Hundreds that start together would else each read all of the store.
-    m_followers[static_cast<std::size_t>(NewsTable::Instances)]->start();
+    m_followers[static_cast<std::size_t>(SharedTable::Instances)]->start();
     tick();
 }
 
@@ -160,20 +160,20 @@
     if (std::exchange(m_followsAll, true))
         return;
     m_followsSince = bootNow();
-    for (const NewsTable table :
-         {NewsTable::Configuration, NewsTable::Endpoints, NewsTable::Crashes})
+    for (const SharedTable table :
+         {SharedTable::Configuration, SharedTable::Endpoints, SharedTable::Crashes})
         m_followers[static_cast<std::size_t>(table)]->start();
 }
 
-TableEvents Control::tableEvents(NewsTable table)
+TableEvents Control::tableEvents(SharedTable table)
 {
     const auto rows = [this, table](const std::vector<StoreRow> &changed, bool whole,
                                     const TableAnswer &answer) {
-        if (table == NewsTable::Configuration)
+        if (table == SharedTable::Configuration)
             configurationRows(changed);
-        else if (table == NewsTable::Endpoints)
+        else if (table == SharedTable::Endpoints)
             endpointRows(changed, whole, steadyNow() - answer.age(bootNow()));
-        else if (table == NewsTable::Crashes && !changed.empty())
+        else if (table == SharedTable::Crashes && !changed.empty())
             crashRows();
     };
     TableEvents events;
@@ -203,7 +203,7 @@
     return m_directory.first(steadyNow());
 }
 
-SourceChoice Control::source(NewsTable table)
+SourceChoice Control::source(SharedTable table)
 {
     const auto index = static_cast<std::size_t>(table);
     const Time told = std::max(m_server.state(table).knownAt, m_followsSince);
@@ -233,7 +233,7 @@
     }
 }
 
-void Control::heard(NewsTable table, const TableSource &source, const TableAnswer &answer)
+void Control::heard(SharedTable table, const TableSource &source, const TableAnswer &answer)
 {
     NewsState &state = m_server.state(table);
     const Time now = steadyNow();
@@ -249,14 +249,14 @@
         m_directory.storeAnswered();
     else if (!toldSeldom(table))
         m_directory.told(source.peer(), age, answer.direct, now);
-    if (table == NewsTable::Configuration && m_table)
+    if (table == SharedTable::Configuration && m_table)
         m_state.keysKnownAt = state.knownAt.time_since_epoch().count();
-    if (table == NewsTable::Endpoints) {
+    if (table == SharedTable::Endpoints) {
         m_fleet.heard(now - age);
         tellFleet();
         reportsArrived(answer.engines);
     }
-    if (table == NewsTable::Instances) {
+    if (table == SharedTable::Instances) {
         countInstances();
         followTheRest();
     }
@@ -384,7 +384,7 @@
 /// Says which endpoints get nothing new from now on, and how old the news is.
 void Control::logLeaving(const FleetSnapshot &before, const FleetSnapshot &after)
 {
-    const Time known = m_server.state(NewsTable::Endpoints).knownAt;
+    const Time known = m_server.state(SharedTable::Endpoints).knownAt;
     const std::int64_t ageMs = known == Time {} ? 0 : (bootNow() - known).count() / 1000;
     const auto log = [ageMs](std::string_view event, const FleetEndpoint &endpoint) {
         logDecision("endpoints", event,
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -79,10 +79,10 @@
         double usedBefore = 0; ///< in the report before
     };
 
-    TableEvents tableEvents(NewsTable table);
-    SourceChoice source(NewsTable table);
+    TableEvents tableEvents(SharedTable table);
+    SourceChoice source(SharedTable table);
     void sourceFailed(const TableSource &source, bool answered);
-    void heard(NewsTable table, const TableSource &source, const TableAnswer &answer);
+    void heard(SharedTable table, const TableSource &source, const TableAnswer &answer);
     bool leadsDomain() const;
     void leftOut(const StoreRow &row, const Reason &reason);
     void configurationRows(const std::vector<StoreRow> &rows);
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -132,7 +132,7 @@
 {
     std::vector<CrashRecord> crashes;
     std::vector<TrialRow> trials;
-    for (const StoreRow &row : m_server.state(NewsTable::Crashes).copy.all()) {
+    for (const StoreRow &row : m_server.state(SharedTable::Crashes).copy.all()) {
         if (isTrialKey(row.key)) {
             if (auto trial = trialOf(row))
                 trials.push_back(std::move(*trial));
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -113,8 +113,8 @@
 /// to each keeps paths there from being chosen blindly by everybody at once.
 void Control::askOtherDomains(Time now)
 {
-    const auto endpoints = static_cast<std::size_t>(NewsTable::Endpoints);
-    const std::uint64_t known = m_server.state(NewsTable::Endpoints).copy.version();
+    const auto endpoints = static_cast<std::size_t>(SharedTable::Endpoints);
+    const std::uint64_t known = m_server.state(SharedTable::Endpoints).copy.version();
     for (const PeerInstance &each : m_directory.remoteReaders(now)) {
         auto &source = m_elsewhereSources[each.name + "@" + each.address];
         if (!source)
--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -119,7 +119,7 @@
     news.set_known_ms(milliseconds(state.knownAt));
     news.set_store_ms(static_cast<std::uint64_t>(state.storeMs));
     news.set_direct(state.direct);
-    if (table == static_cast<std::size_t>(NewsTable::Endpoints))
+    if (table == static_cast<std::size_t>(SharedTable::Endpoints))
         addEngines(toldMs, news);
     return news.SerializeAsString();
 }
@@ -184,13 +184,13 @@
 }
 
 /// Whether those who asked when \a state was known as of \a then are told that it still is.
-bool PeerServer::fresher(NewsTable table, const NewsState &state, Time then)
+bool PeerServer::fresher(SharedTable table, const NewsState &state, Time then)
 {
-    return (table == NewsTable::Configuration || table == NewsTable::Endpoints)
+    return (table == SharedTable::Configuration || table == SharedTable::Endpoints)
            && state.knownAt > then;
 }
 
-void PeerServer::changed(NewsTable table)
+void PeerServer::changed(SharedTable table)
 {
     const auto index = static_cast<std::size_t>(table);
     std::vector<Waiter> ready;
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -21,7 +21,7 @@
 }
 
 /// The tables that instances tell each other of.
-enum class NewsTable : std::size_t { Configuration, Endpoints, Instances, Crashes };
+enum class SharedTable : std::size_t { Configuration, Endpoints, Instances, Crashes };
 
 inline constexpr std::size_t NewsTableCount = 4;
 
@@ -56,12 +56,12 @@
     explicit PeerServer(boost::asio::io_context &context);
 
     bool listen(const std::string &address, Reason &reason);
-    NewsState &state(NewsTable table) { return m_states[static_cast<std::size_t>(table)]; }
+    NewsState &state(SharedTable table) { return m_states[static_cast<std::size_t>(table)]; }
 
     /// The table changed, or was heard to be as it was: answers those who wait for that.
     /// Told at once how recent it is, they tell on what is hardly older, so that news do
     /// not age with each instance that they pass.
-    void changed(NewsTable table);
+    void changed(SharedTable table);
 
     /// The store does not answer any more: what is known came from it, but only
     /// grows older.
@@ -108,7 +108,7 @@
     static void addPacked(const CompressedRows &packed, wire::TableNews &news);
     void addAllRows(std::size_t table, wire::TableNews &news) const;
     void addEngines(std::uint64_t toldMs, wire::TableNews &news) const;
-    static bool fresher(NewsTable table, const NewsState &state, Time then);
+    static bool fresher(SharedTable table, const NewsState &state, Time then);
     void expire();
 
     TextServer m_server;
