--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -133,7 +133,7 @@
     , m_planner(plannerSettings(settings))
     , m_trials(trialSettings(settings))
 {
-    for (std::size_t i = 0; i < NewsTableCount; ++i) {
+    for (std::size_t i = 0; i < SharedTableCount; ++i) {
         const auto table = static_cast<SharedTable>(i);
         m_storeSources[i] = std::make_unique<StoreSource>(context, settings.store, protocol, state,
                                                           std::string(tableName(protocol, table)));
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -132,9 +132,9 @@
     boost::asio::steady_timer m_timer;
     PeerServer m_server;
     PeerDirectory m_directory;
-    std::array<std::unique_ptr<StoreSource>, NewsTableCount> m_storeSources;
-    std::array<std::map<std::string, std::unique_ptr<PeerSource>>, NewsTableCount> m_peerSources;
-    std::array<std::unique_ptr<TableFollower>, NewsTableCount> m_followers;
+    std::array<std::unique_ptr<StoreSource>, SharedTableCount> m_storeSources;
+    std::array<std::map<std::string, std::unique_ptr<PeerSource>>, SharedTableCount> m_peerSources;
+    std::array<std::unique_ptr<TableFollower>, SharedTableCount> m_followers;
     std::map<std::string, AskedEngine> m_asked; ///< by id
     bool m_askedDirty = false;
     /// When another instance of the domain's tree told states of engines last.
--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -75,7 +75,7 @@
 {
     std::array<std::uint64_t, 5> numbers {};
     if (!target.starts_with(Prefix) || !readNumbers(target.substr(Prefix.size()), numbers)
-        || numbers[0] >= NewsTableCount)
+        || numbers[0] >= SharedTableCount)
         return reply({404, {}});
     const auto [table, after, waitMs, toldBeforeMs, changedWithinMs] = numbers;
     const NewsState &state = m_states[table];
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -23,7 +23,7 @@
 /// The tables that instances tell each other of.
 enum class SharedTable : std::size_t { Configuration, Endpoints, Instances, Crashes };
 
-inline constexpr std::size_t NewsTableCount = 4;
+inline constexpr std::size_t SharedTableCount = 4;
 
 /// A question for changes of a table, and of states of engines.
 struct NewsQuestion
@@ -114,8 +114,8 @@
     TextServer m_server;
     boost::asio::steady_timer m_timer;
     bool m_timing = false;
-    std::array<NewsState, NewsTableCount> m_states;
-    mutable std::array<PackedTable, NewsTableCount> m_packed; ///< as told last
+    std::array<NewsState, SharedTableCount> m_states;
+    mutable std::array<PackedTable, SharedTableCount> m_packed; ///< as told last
     std::map<std::string, ToldEngine, std::less<>> m_engines; ///< by id
     std::map<std::string, Time> m_asOf; ///< by domain, see EngineReports
     std::vector<Waiter> m_waiters;
