--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -26,7 +26,7 @@
 inline constexpr std::size_t SharedTableCount = 4;
 
 /// A question for changes of a table, and of states of engines.
-struct NewsQuestion
+struct UpdateQuery
 {
     std::size_t table = 0;
     std::uint64_t after = 0; ///< the version that is known
@@ -36,7 +36,7 @@
 };
 
 /// Its request target.
-std::string newsTarget(const NewsQuestion &question);
+std::string newsTarget(const UpdateQuery &question);
 
 /// A copy of a table and how recent it is.
 struct NewsState
