--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -235,7 +235,7 @@
 
 void Control::heard(SharedTable table, const TableSource &source, const TableAnswer &answer)
 {
-    NewsState &state = m_server.state(table);
+    TableState &state = m_server.state(table);
     const Time now = steadyNow();
     const Duration age = answer.age(bootNow());
     if (answer.knownAt)
--- a/src/entry/controlinstances.cpp
+++ b/src/entry/controlinstances.cpp
@@ -75,7 +75,7 @@
 
 void Control::countInstances()
 {
-    const NewsState &known = m_server.state(SharedTable::Instances);
+    const TableState &known = m_server.state(SharedTable::Instances);
     std::vector<InstanceRow> rows;
     for (const StoreRow &row : known.copy.all()) {
         const auto object = rowObject(row);
--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -78,7 +78,7 @@
         || numbers[0] >= SharedTableCount)
         return reply({404, {}});
     const auto [table, after, waitMs, toldBeforeMs, changedWithinMs] = numbers;
-    const NewsState &state = m_states[table];
+    const TableState &state = m_states[table];
     const std::uint64_t nowMs = milliseconds(steadyNow());
     const std::uint64_t toldMs = toldBeforeMs > 0 || changedWithinMs == 0
                                      ? toldBeforeMs
@@ -102,7 +102,7 @@
 
 std::string PeerServer::news(std::size_t table, std::uint64_t after, std::uint64_t toldMs) const
 {
-    const NewsState &state = m_states[table];
+    const TableState &state = m_states[table];
     wire::TableNews news;
     auto rows = after == 0 ? std::nullopt : state.copy.since(after);
     news.set_whole(!rows);
@@ -179,12 +179,12 @@
 
 void PeerServer::storeLost()
 {
-    for (NewsState &state : m_states)
+    for (TableState &state : m_states)
         state.direct = false;
 }
 
 /// Whether those who asked when \a state was known as of \a then are told that it still is.
-bool PeerServer::fresher(SharedTable table, const NewsState &state, Time then)
+bool PeerServer::fresher(SharedTable table, const TableState &state, Time then)
 {
     return (table == SharedTable::Configuration || table == SharedTable::Endpoints)
            && state.knownAt > then;
@@ -195,7 +195,7 @@
     const auto index = static_cast<std::size_t>(table);
     std::vector<Waiter> ready;
     std::erase_if(m_waiters, [&](Waiter &each) {
-        const NewsState &state = m_states[index];
+        const TableState &state = m_states[index];
         const bool now =
             each.table == index
             && (state.copy.version() > each.after || fresher(table, state, each.knownAt));
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -39,7 +39,7 @@
 std::string newsTarget(const UpdateQuery &question);
 
 /// A copy of a table and how recent it is.
-struct NewsState
+struct TableState
 {
     TableCopy copy;
     Time knownAt {}; ///< on the clock that counts suspension; never: the beginning of time
@@ -56,7 +56,7 @@
     explicit PeerServer(boost::asio::io_context &context);
 
     bool listen(const std::string &address, Reason &reason);
-    NewsState &state(SharedTable table) { return m_states[static_cast<std::size_t>(table)]; }
+    TableState &state(SharedTable table) { return m_states[static_cast<std::size_t>(table)]; }
 
     /// The table changed, or was heard to be as it was: answers those who wait for that.
     /// Told at once how recent it is, they tell on what is hardly older, so that news do
@@ -108,13 +108,13 @@
     static void addPacked(const CompressedRows &packed, wire::TableNews &news);
     void addAllRows(std::size_t table, wire::TableNews &news) const;
     void addEngines(std::uint64_t toldMs, wire::TableNews &news) const;
-    static bool fresher(SharedTable table, const NewsState &state, Time then);
+    static bool fresher(SharedTable table, const TableState &state, Time then);
     void expire();
 
     TextServer m_server;
     boost::asio::steady_timer m_timer;
     bool m_timing = false;
-    std::array<NewsState, SharedTableCount> m_states;
+    std::array<TableState, SharedTableCount> m_states;
     mutable std::array<PackedTable, SharedTableCount> m_packed; ///< as told last
     std::map<std::string, ToldEngine, std::less<>> m_engines; ///< by id
     std::map<std::string, Time> m_asOf; ///< by domain, see EngineReports
