--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-std::string newsTarget(const UpdateQuery &question)
+std::string updateTarget(const UpdateQuery &question)
 {
     return std::string(Prefix) + std::to_string(question.table) + "/"
            + std::to_string(question.after) + "/" + std::to_string(question.wait.count() / 1000)
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -36,7 +36,7 @@
 };
 
 /// Its request target.
-std::string newsTarget(const UpdateQuery &question);
+std::string updateTarget(const UpdateQuery &question);
 
 /// A copy of a table and how recent it is.
 struct TableState
