--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -38,7 +38,7 @@
 {
     return std::string(Prefix) + std::to_string(question.table) + "/"
            + std::to_string(question.after) + "/" + std::to_string(question.wait.count() / 1000)
-           + "/" + std::to_string(question.toldMs) + "/"
+           + "/" + std::to_string(question.statesSinceMs) + "/"
            + std::to_string(question.changedWithin.count() / 1000);
 }
 
@@ -80,27 +80,27 @@
     const auto [table, after, waitMs, toldBeforeMs, changedWithinMs] = numbers;
     const TableState &state = m_states[table];
     const std::uint64_t nowMs = milliseconds(steadyNow());
-    const std::uint64_t toldMs = toldBeforeMs > 0 || changedWithinMs == 0
+    const std::uint64_t statesSinceMs = toldBeforeMs > 0 || changedWithinMs == 0
                                      ? toldBeforeMs
                                      : nowMs - std::min(nowMs, changedWithinMs);
     const bool known = state.copy.known();
     if (waitMs == 0 || (known && (state.copy.version() > after || after == 0)))
-        return reply(answer(table, after, toldMs));
-    m_waiters.push_back({table, after, toldMs, state.knownAt, steadyNow() + Duration(waitMs * 1000),
+        return reply(answer(table, after, statesSinceMs));
+    m_waiters.push_back({table, after, statesSinceMs, state.knownAt, steadyNow() + Duration(waitMs * 1000),
                          std::move(reply)});
     if (!std::exchange(m_timing, true))
         expire();
 }
 
 /// A table that is not known yet is no answer: its asker must not take it for empty.
-TextAnswer PeerServer::answer(std::size_t table, std::uint64_t after, std::uint64_t toldMs) const
+TextAnswer PeerServer::answer(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const
 {
     if (!m_states[table].copy.known())
         return {503, {}};
-    return {200, news(table, after, toldMs)};
+    return {200, news(table, after, statesSinceMs)};
 }
 
-std::string PeerServer::news(std::size_t table, std::uint64_t after, std::uint64_t toldMs) const
+std::string PeerServer::news(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const
 {
     const TableState &state = m_states[table];
     wire::TableNews news;
@@ -120,7 +120,7 @@
     news.set_store_ms(static_cast<std::uint64_t>(state.storeMs));
     news.set_direct(state.direct);
     if (table == static_cast<std::size_t>(SharedTable::Endpoints))
-        addEngines(toldMs, news);
+        addEngines(statesSinceMs, news);
     return news.SerializeAsString();
 }
 
@@ -148,12 +148,12 @@
 
 /// States of engines that the asker may not have been told yet; older ones, told again
 /// with each answer, would fill a small instance's link.
-void PeerServer::addEngines(std::uint64_t toldMs, wire::TableNews &news) const
+void PeerServer::addEngines(std::uint64_t statesSinceMs, wire::TableNews &news) const
 {
     const Time now = steadyNow();
     news.set_told_ms(milliseconds(now));
     // A time from another process, whose clock may have been ahead, says nothing.
-    const bool known = toldMs <= milliseconds(now);
+    const bool known = statesSinceMs <= milliseconds(now);
     const auto ageMs = [now](Time at) {
         return static_cast<std::uint64_t>(std::max<std::int64_t>(0, (now - at).count() / 1000));
     };
@@ -163,7 +163,7 @@
         each.set_age_ms(ageMs(at));
     }
     for (const auto &[id, told] : m_engines) {
-        if (known && milliseconds(told.changedAt) < toldMs)
+        if (known && milliseconds(told.changedAt) < statesSinceMs)
             continue;
         const EngineState &engine = told.state;
         wire::EngineNews &each = *news.add_engines();
@@ -204,7 +204,7 @@
         return now;
     });
     for (Waiter &each : ready)
-        each.reply(answer(each.table, each.after, each.toldMs));
+        each.reply(answer(each.table, each.after, each.statesSinceMs));
 }
 
 void PeerServer::expire()
@@ -218,7 +218,7 @@
         return expired;
     });
     for (Waiter &each : over)
-        each.reply(answer(each.table, each.after, each.toldMs));
+        each.reply(answer(each.table, each.after, each.statesSinceMs));
     m_timing = !m_waiters.empty();
     if (!m_timing)
         return;
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -31,7 +31,7 @@
     std::size_t table = 0;
     std::uint64_t after = 0; ///< the version that is known
     Duration wait {}; ///< how long the answer may be held
-    std::uint64_t toldMs = 0; ///< until when states were told here before; 0: never
+    std::uint64_t statesSinceMs = 0; ///< until when states were told here before; 0: never
     Duration changedWithin {}; ///< then only states that changed so lately; 0: all
 };
 
@@ -82,7 +82,7 @@
     {
         std::size_t table;
         std::uint64_t after;
-        std::uint64_t toldMs;
+        std::uint64_t statesSinceMs;
         Time knownAt; ///< what was known when it asked
         Time until;
         TextServer::Reply reply;
@@ -103,11 +103,11 @@
     };
 
     void asked(std::string_view target, TextServer::Reply reply);
-    TextAnswer answer(std::size_t table, std::uint64_t after, std::uint64_t toldMs) const;
-    std::string news(std::size_t table, std::uint64_t after, std::uint64_t toldMs) const;
+    TextAnswer answer(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const;
+    std::string news(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const;
     static void addPacked(const CompressedRows &packed, wire::TableNews &news);
     void addAllRows(std::size_t table, wire::TableNews &news) const;
-    void addEngines(std::uint64_t toldMs, wire::TableNews &news) const;
+    void addEngines(std::uint64_t statesSinceMs, wire::TableNews &news) const;
     static bool fresher(SharedTable table, const TableState &state, Time then);
     void expire();
 
