--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -34,7 +34,7 @@
 {
     std::function<void(RouteMapPtr)> table;
     std::function<void(FleetPtr)> fleet;
-    std::function<void(InstancesKnown)> instances;
+    std::function<void(KnownInstances)> instances;
     std::function<void(EngineReports)> engines;
     std::function<void(std::vector<CrashRecord>)> crashes; ///< all that instances told
 };
@@ -151,7 +151,7 @@
     std::uint64_t m_tableRow = 0; ///< version of the row in force
     InstanceList m_instanceList;
     std::vector<PeerInstance> m_instances; ///< as counted last
-    Duration m_toldClock {}; ///< see InstancesKnown
+    Duration m_toldClock {}; ///< see KnownInstances
     LeaseManager m_lease;
     LayerPlanner m_planner;
     GapFiller m_filler;
--- a/src/entry/entrystate.h
+++ b/src/entry/entrystate.h
@@ -12,7 +12,7 @@
 namespace balsamloft {
 
 /// The instances that are believed to live.
-struct InstancesKnown
+struct KnownInstances
 {
     std::vector<PeerInstance> all;
     std::size_t inDomain = 1;
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -96,7 +96,7 @@
         events.fleet = [this](FleetPtr fleet) {
             asio::post(m_traffic, [this, fleet] { m_front.setFleet(fleet); });
         };
-        events.instances = [this](InstancesKnown known) {
+        events.instances = [this](KnownInstances known) {
             asio::post(m_traffic,
                        [this, known = std::move(known)] { m_front.setInstances(known); });
         };
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -128,7 +128,7 @@
     run(std::move(actions));
 }
 
-void TrafficFront::setInstances(const InstancesKnown &known)
+void TrafficFront::setInstances(const KnownInstances &known)
 {
     const Time now = steadyNow();
     m_relay.setInstances(known.inDomain, known.count, now);
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -33,7 +33,7 @@
 
     void setTable(RouteMapPtr table);
     void setFleet(FleetPtr fleet);
-    void setInstances(const InstancesKnown &known);
+    void setInstances(const KnownInstances &known);
     void applyEngineReports(const EngineReports &reports);
     void setSharedCrashes(const std::vector<CrashRecord> &all) { m_relay.setSharedCrashes(all); }
 
