--- a/src/entry/entrystate.h
+++ b/src/entry/entrystate.h
@@ -17,7 +17,7 @@
     std::vector<PeerInstance> all;
     std::size_t inDomain = 1;
     std::size_t count = 1; ///< this one too, which may not be listed yet
-    Duration storeClock {}; ///< the store's time less this one's, which counts suspension
+    Duration storeClockOffset {}; ///< the store's time less this one's, which counts suspension
 };
 
 /// Written by the control thread, read by the traffic thread.
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -132,7 +132,7 @@
 {
     const Time now = steadyNow();
     m_relay.setInstances(known.inDomain, known.count, now);
-    m_relay.shareLimits(known.all, m_settings.name, known.storeClock + (bootNow() - now), now);
+    m_relay.shareLimits(known.all, m_settings.name, known.storeClockOffset + (bootNow() - now), now);
 }
 
 void TrafficFront::reload(const EntrySettings &settings)
