--- a/src/entry/tablefollower.cpp
+++ b/src/entry/tablefollower.cpp
@@ -125,9 +125,9 @@
         else if (news)
             m_events.changed(answer.reply.rows, m_version, answer);
         m_events.heard(source, answer);
-        const Duration pace = source.isStore() ? m_settings.pace : m_settings.peerPace;
-        if (pace > Duration {} && news)
-            return later(pace, [this] { watch(); });
+        const Duration minInterval = source.isStore() ? m_settings.minInterval : m_settings.peerPace;
+        if (minInterval > Duration {} && news)
+            return later(minInterval, [this] { watch(); });
         return watch();
     }
     case StoreReply::Kind::HistoryExpired:
--- a/src/entry/tablefollower.h
+++ b/src/entry/tablefollower.h
@@ -50,7 +50,7 @@
     /// there, and serve nobody before they have read: short, so that the next is asked.
     Duration firstPeerWait {100'000};
     Duration retry {100'000}; ///< pause while nobody may be asked
-    Duration pace {0}; ///< shortest time between two calls when there are changes
+    Duration minInterval {0}; ///< shortest time between two calls when there are changes
     Duration peerPace {0};
 };
 
