--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -29,21 +29,21 @@
     case SharedTable::Endpoints:
         settings.table = "endpoints";
         settings.minInterval = Duration(250'000);
-        settings.peerPace = Duration(100'000);
+        settings.peerMinInterval = Duration(100'000);
         break;
     case SharedTable::Instances:
         settings.table = "instances";
         settings.storeWait = Duration(10'000'000);
         settings.peerWait = Duration(10'000'000);
         settings.minInterval = Duration(5'000'000);
-        settings.peerPace = Duration(4'000'000);
+        settings.peerMinInterval = Duration(4'000'000);
         break;
     case SharedTable::Crashes:
         settings.table = "crashes";
         settings.storeWait = Duration(10'000'000);
         settings.peerWait = Duration(10'000'000);
         settings.minInterval = Duration(250'000);
-        settings.peerPace = Duration(100'000);
+        settings.peerMinInterval = Duration(100'000);
         break;
     }
     return settings;
--- a/src/entry/tablefollower.h
+++ b/src/entry/tablefollower.h
@@ -51,7 +51,7 @@
     Duration firstPeerWait {100'000};
     Duration retry {100'000}; ///< pause while nobody may be asked
     Duration minInterval {0}; ///< shortest time between two calls when there are changes
-    Duration peerPace {0};
+    Duration peerMinInterval {0};
 };
 
 /// Keeps a copy of a table up to date with few calls.
