--- a/src/entry/connectionpool.cpp
+++ b/src/entry/connectionpool.cpp
@@ -33,12 +33,12 @@
 
 } // namespace
 
-EnginePool::EnginePool(asio::io_context &context)
+ConnectionPool::ConnectionPool(asio::io_context &context)
     : m_context(context)
 {
 }
 
-EngineConnectionPtr EnginePool::take(const std::string &endpoint, Time now)
+EngineConnectionPtr ConnectionPool::take(const std::string &endpoint, Time now)
 {
     const auto it = m_idle.find(endpoint);
     while (it != m_idle.end() && !it->second.empty()) {
@@ -50,7 +50,7 @@
     return nullptr;
 }
 
-void EnginePool::put(EngineConnectionPtr connection, Time now)
+void ConnectionPool::put(EngineConnectionPtr connection, Time now)
 {
     auto &idle = m_idle[connection->endpoint];
     connection->idleSince = now;
@@ -58,7 +58,7 @@
         idle.push_back(std::move(connection));
 }
 
-void EnginePool::prune(const FleetSnapshot &fleet, Time now)
+void ConnectionPool::prune(const FleetSnapshot &fleet, Time now)
 {
     for (auto it = m_idle.begin(); it != m_idle.end();) {
         std::erase_if(it->second, [&](const EngineConnectionPtr &connection) {
@@ -68,7 +68,7 @@
     }
 }
 
-Exchange::Exchange(EnginePool &pool, ExchangeSettings settings, std::string request)
+Exchange::Exchange(ConnectionPool &pool, ExchangeSettings settings, std::string request)
     : m_pool(pool)
     , m_settings(std::move(settings))
     , m_request(std::move(request))
--- a/src/entry/connectionpool.h
+++ b/src/entry/connectionpool.h
@@ -36,10 +36,10 @@
 
 /// Idle connections, by id of the endpoint's process: an address that another
 /// process took over must not get requests on a connection to the old one.
-class EnginePool
+class ConnectionPool
 {
 public:
-    explicit EnginePool(boost::asio::io_context &context);
+    explicit ConnectionPool(boost::asio::io_context &context);
 
     /// An idle connection that is still open and silent, or nothing.
     EngineConnectionPtr take(const std::string &endpoint, Time now);
@@ -92,7 +92,7 @@
 class Exchange : public std::enable_shared_from_this<Exchange>
 {
 public:
-    Exchange(EnginePool &pool, ExchangeSettings settings, std::string request);
+    Exchange(ConnectionPool &pool, ExchangeSettings settings, std::string request);
 
     void start(ExchangeOwner &owner, Time now);
 
@@ -120,7 +120,7 @@
     void newReader();
     void fail(AttemptFailure failure);
 
-    EnginePool &m_pool;
+    ConnectionPool &m_pool;
     ExchangeSettings m_settings;
     std::string m_request;
     ExchangeOwner *m_owner = nullptr;
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -144,7 +144,7 @@
     Time m_otherDomainsAskedAt {};
     StoreChannel m_channel;
     StoreChannel m_crashChannel; ///< callers wait for permits: not behind what lasts longer
-    EnginePool m_engines;
+    ConnectionPool m_engines;
     FleetTracker m_fleet;
     FleetPtr m_fleetNow;
     RouteMapPtr m_table;
--- a/src/entry/storechannel.h
+++ b/src/entry/storechannel.h
@@ -46,7 +46,7 @@
     void next();
     void finished(const CallOutcome &outcome, Time sentAt, const Callback &callback);
 
-    EnginePool m_pool;
+    ConnectionPool m_pool;
     std::string m_address;
     const EntryProtocol &m_protocol;
     EntryState &m_state;
--- a/src/entry/tablesource.h
+++ b/src/entry/tablesource.h
@@ -89,7 +89,7 @@
     TableAnswer decode(const CallOutcome &outcome, Time sentAt);
     Duration changedWithin() const;
 
-    EnginePool m_pool;
+    ConnectionPool m_pool;
     PeerInstance m_peer;
     std::size_t m_table;
     ReadFreshness m_freshness;
--- a/src/entry/timedcall.cpp
+++ b/src/entry/timedcall.cpp
@@ -4,7 +4,7 @@
 
 namespace balsamloft {
 
-OneCall::OneCall(EnginePool &pool, ExchangeSettings settings, std::string request,
+OneCall::OneCall(ConnectionPool &pool, ExchangeSettings settings, std::string request,
                  CallLimits limits, Callback callback)
     : m_timer(pool.context())
     , m_limits(limits)
@@ -84,7 +84,7 @@
     m_callback(std::move(m_outcome));
 }
 
-void startCall(EnginePool &pool, const std::string &endpoint, const std::string &address,
+void startCall(ConnectionPool &pool, const std::string &endpoint, const std::string &address,
                const OutgoingCall &call, Duration within, OneCall::Callback callback)
 {
     ExchangeSettings settings;
--- a/src/entry/timedcall.h
+++ b/src/entry/timedcall.h
@@ -28,7 +28,7 @@
 public:
     using Callback = std::function<void(CallOutcome)>;
 
-    OneCall(EnginePool &pool, ExchangeSettings settings, std::string request, CallLimits limits,
+    OneCall(ConnectionPool &pool, ExchangeSettings settings, std::string request, CallLimits limits,
             Callback callback);
 
     void start();
@@ -59,7 +59,7 @@
 
 /// Sends \a call to the endpoint with that id and address, on a kept connection
 /// where there is one.
-void startCall(EnginePool &pool, const std::string &endpoint, const std::string &address,
+void startCall(ConnectionPool &pool, const std::string &endpoint, const std::string &address,
                const OutgoingCall &call, Duration within, OneCall::Callback callback);
 
 /// The text of a call to \a host, as HTTP/1.1.
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -73,7 +73,7 @@
     const RouteMapPtr &table() const { return m_table; }
     const EntryProtocol &protocol() const { return m_protocol; }
     const EntrySettings &settings() const { return m_settings; }
-    EnginePool &pool() { return m_pool; }
+    ConnectionPool &pool() { return m_pool; }
     Relay &relay() { return m_relay; }
     bool stopping() const { return m_stopping; }
 
@@ -123,7 +123,7 @@
     boost::asio::steady_timer m_timer;
     RequestMetrics m_requestMetrics;
     CallerCalls m_callerCalls;
-    EnginePool m_pool;
+    ConnectionPool m_pool;
     Relay m_relay;
     RouteMapPtr m_table;
     FleetPtr m_fleet;
