--- a/src/entry/connectionpool.cpp
+++ b/src/entry/connectionpool.cpp
@@ -105,7 +105,7 @@
                    [self = shared_from_this()] { self->fail(AttemptFailure::NotSent); });
         return;
     }
-    m_connection = std::make_unique<EngineConnection>(m_pool.context());
+    m_connection = std::make_unique<PooledConnection>(m_pool.context());
     m_connection->endpoint = m_settings.endpoint;
     m_pool.opened += 1;
     m_connection->socket.async_connect(
@@ -143,7 +143,7 @@
 
 void Exchange::read()
 {
-    EngineConnection &connection = *m_connection;
+    PooledConnection &connection = *m_connection;
     connection.socket.async_read_some(
         asio::buffer(connection.buffer),
         [self = shared_from_this()](const boost::system::error_code &error, std::size_t count) {
--- a/src/entry/connectionpool.h
+++ b/src/entry/connectionpool.h
@@ -17,9 +17,9 @@
 namespace balsamloft {
 
 /// One connection to one process of an endpoint.
-struct EngineConnection
+struct PooledConnection
 {
-    explicit EngineConnection(boost::asio::io_context &context)
+    explicit PooledConnection(boost::asio::io_context &context)
         : socket(context)
     {
     }
@@ -32,7 +32,7 @@
     Duration keepFor {4'000'000}; ///< how long the endpoint keeps an idle connection, less a margin
 };
 
-using EngineConnectionPtr = std::unique_ptr<EngineConnection>;
+using EngineConnectionPtr = std::unique_ptr<PooledConnection>;
 
 /// Idle connections, by id of the endpoint's process: an address that another
 /// process took over must not get requests on a connection to the old one.
