--- a/src/entry/connectionpool.cpp
+++ b/src/entry/connectionpool.cpp
@@ -38,11 +38,11 @@
 {
 }
 
-EngineConnectionPtr ConnectionPool::take(const std::string &endpoint, Time now)
+PooledConnectionPtr ConnectionPool::take(const std::string &endpoint, Time now)
 {
     const auto it = m_idle.find(endpoint);
     while (it != m_idle.end() && !it->second.empty()) {
-        EngineConnectionPtr connection = std::move(it->second.back());
+        PooledConnectionPtr connection = std::move(it->second.back());
         it->second.pop_back();
         if (now - connection->idleSince < connection->keepFor && isQuiet(connection->socket))
             return connection;
@@ -50,7 +50,7 @@
     return nullptr;
 }
 
-void ConnectionPool::put(EngineConnectionPtr connection, Time now)
+void ConnectionPool::put(PooledConnectionPtr connection, Time now)
 {
     auto &idle = m_idle[connection->endpoint];
     connection->idleSince = now;
@@ -61,7 +61,7 @@
 void ConnectionPool::prune(const FleetSnapshot &fleet, Time now)
 {
     for (auto it = m_idle.begin(); it != m_idle.end();) {
-        std::erase_if(it->second, [&](const EngineConnectionPtr &connection) {
+        std::erase_if(it->second, [&](const PooledConnectionPtr &connection) {
             return now - connection->idleSince >= connection->keepFor;
         });
         it = it->second.empty() || !fleet.find(it->first) ? m_idle.erase(it) : std::next(it);
@@ -231,7 +231,7 @@
     // Bytes beyond the answer belong to no request, and a request that was not
     // read to its end would be continued by the next one.
     const bool clean = m_connection->in.empty() && m_written && m_reader->keepAlive();
-    EngineConnectionPtr connection = std::move(m_connection);
+    PooledConnectionPtr connection = std::move(m_connection);
     if (clean && connection->socket.is_open())
         m_pool.put(std::move(connection), steadyNow());
     owner->answerWhole(*m_reader);
--- a/src/entry/connectionpool.h
+++ b/src/entry/connectionpool.h
@@ -32,7 +32,7 @@
     Duration keepFor {4'000'000}; ///< how long the endpoint keeps an idle connection, less a margin
 };
 
-using EngineConnectionPtr = std::unique_ptr<PooledConnection>;
+using PooledConnectionPtr = std::unique_ptr<PooledConnection>;
 
 /// Idle connections, by id of the endpoint's process: an address that another
 /// process took over must not get requests on a connection to the old one.
@@ -42,8 +42,8 @@
     explicit ConnectionPool(boost::asio::io_context &context);
 
     /// An idle connection that is still open and silent, or nothing.
-    EngineConnectionPtr take(const std::string &endpoint, Time now);
-    void put(EngineConnectionPtr connection, Time now);
+    PooledConnectionPtr take(const std::string &endpoint, Time now);
+    void put(PooledConnectionPtr connection, Time now);
 
     /// Closes idle connections that are old, or whose endpoint is not in \a fleet.
     void prune(const FleetSnapshot &fleet, Time now);
@@ -54,7 +54,7 @@
 
 private:
     boost::asio::io_context &m_context;
-    std::map<std::string, std::vector<EngineConnectionPtr>> m_idle;
+    std::map<std::string, std::vector<PooledConnectionPtr>> m_idle;
 };
 
 /// What an exchange tells its owner. Each function may end the exchange.
@@ -124,7 +124,7 @@
     ExchangeSettings m_settings;
     std::string m_request;
     ExchangeOwner *m_owner = nullptr;
-    EngineConnectionPtr m_connection;
+    PooledConnectionPtr m_connection;
     std::optional<MessageReader> m_reader;
     std::optional<Time> m_connectingSince;
     bool m_refused = false;
