--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -15,7 +15,7 @@
 
 /// Reads requests one after another, keeps the bytes of the present one while
 /// the relay decides on it, and writes the answer.
-class CallerSession : public std::enable_shared_from_this<CallerSession>, private ExchangeOwner
+class CallerSession : public std::enable_shared_from_this<CallerSession>, private ExchangeHandler
 {
 public:
     CallerSession(TrafficFront &front, boost::asio::ip::tcp::socket socket);
--- a/src/entry/connectionpool.cpp
+++ b/src/entry/connectionpool.cpp
@@ -84,7 +84,7 @@
     m_skipping = false;
 }
 
-void Exchange::start(ExchangeOwner &owner, Time now)
+void Exchange::start(ExchangeHandler &owner, Time now)
 {
     m_owner = &owner;
     if (!m_settings.freshConnection)
@@ -226,7 +226,7 @@
 
 void Exchange::complete()
 {
-    ExchangeOwner *owner = std::exchange(m_owner, nullptr);
+    ExchangeHandler *owner = std::exchange(m_owner, nullptr);
     const auto self = shared_from_this();
     // Bytes beyond the answer belong to no request, and a request that was not
     // read to its end would be continued by the next one.
@@ -239,7 +239,7 @@
 
 void Exchange::fail(AttemptFailure failure)
 {
-    ExchangeOwner *owner = std::exchange(m_owner, nullptr);
+    ExchangeHandler *owner = std::exchange(m_owner, nullptr);
     if (!owner)
         return;
     const auto self = shared_from_this();
--- a/src/entry/connectionpool.h
+++ b/src/entry/connectionpool.h
@@ -58,10 +58,10 @@
 };
 
 /// What an exchange tells its owner. Each function may end the exchange.
-class ExchangeOwner
+class ExchangeHandler
 {
 public:
-    virtual ~ExchangeOwner() = default;
+    virtual ~ExchangeHandler() = default;
 
     /// Asked right before the bytes leave. \return whether they may.
     virtual bool maySend() = 0;
@@ -94,7 +94,7 @@
 public:
     Exchange(ConnectionPool &pool, ExchangeSettings settings, std::string request);
 
-    void start(ExchangeOwner &owner, Time now);
+    void start(ExchangeHandler &owner, Time now);
 
     /// Closes the connection; the owner hears nothing more.
     void cancel();
@@ -123,7 +123,7 @@
     ConnectionPool &m_pool;
     ExchangeSettings m_settings;
     std::string m_request;
-    ExchangeOwner *m_owner = nullptr;
+    ExchangeHandler *m_owner = nullptr;
     PooledConnectionPtr m_connection;
     std::optional<MessageReader> m_reader;
     std::optional<Time> m_connectingSince;
--- a/src/entry/timedcall.h
+++ b/src/entry/timedcall.h
@@ -23,7 +23,7 @@
 
 /// Sends one request, and gives the whole answer, or none, to a callback. An empty
 /// request only opens a connection: it counts as left once that is open.
-class OneCall : public std::enable_shared_from_this<OneCall>, private ExchangeOwner
+class OneCall : public std::enable_shared_from_this<OneCall>, private ExchangeHandler
 {
 public:
     using Callback = std::function<void(CallOutcome)>;
