--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -109,7 +109,7 @@
     return answer;
 }
 
-bool CallerSession::headArrived(MessageReader &answer)
+bool CallerSession::headReceived(MessageReader &answer)
 {
     const AnswerHead head = decisionHead(answer.head());
     const bool stream = m_route->kind == RequestKind::Stream;
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -43,7 +43,7 @@
 private:
     bool maySend() override;
     void exchangeFailed(AttemptFailure failure) override;
-    bool headArrived(MessageReader &answer) override;
+    bool headReceived(MessageReader &answer) override;
     void bodyArrived(MessageReader &answer) override;
     void answerWhole(MessageReader &answer) override;
 
--- a/src/entry/connectionpool.cpp
+++ b/src/entry/connectionpool.cpp
@@ -192,7 +192,7 @@
         fail(AttemptFailure::InvalidAnswer);
         return false;
     }
-    m_inPieces = m_owner->headArrived(*m_reader);
+    m_inPieces = m_owner->headReceived(*m_reader);
     return m_owner != nullptr;
 }
 
--- a/src/entry/connectionpool.h
+++ b/src/entry/connectionpool.h
@@ -68,7 +68,7 @@
     virtual void exchangeFailed(AttemptFailure failure) = 0;
 
     /// The head arrived. \return whether the body is wanted in pieces.
-    virtual bool headArrived(MessageReader &answer) = 0;
+    virtual bool headReceived(MessageReader &answer) = 0;
 
     /// A piece of the body arrived and stands in answer.body().
     virtual void bodyArrived(MessageReader &answer) = 0;
--- a/src/entry/timedcall.cpp
+++ b/src/entry/timedcall.cpp
@@ -51,7 +51,7 @@
     return false;
 }
 
-bool OneCall::headArrived(MessageReader & /*answer*/)
+bool OneCall::headReceived(MessageReader & /*answer*/)
 {
     m_readAt = steadyNow();
     return true;
--- a/src/entry/timedcall.h
+++ b/src/entry/timedcall.h
@@ -38,7 +38,7 @@
 
 private:
     bool maySend() override;
-    bool headArrived(MessageReader &answer) override;
+    bool headReceived(MessageReader &answer) override;
     void bodyArrived(MessageReader &answer) override;
     void exchangeFailed(AttemptFailure failure) override;
     void answerWhole(MessageReader &answer) override;
