--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -124,7 +124,7 @@
     return true;
 }
 
-void CallerSession::bodyArrived(MessageReader &answer)
+void CallerSession::bodyReceived(MessageReader &answer)
 {
     if (!m_flight || !m_events)
         return;
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -44,7 +44,7 @@
     bool maySend() override;
     void exchangeFailed(AttemptFailure failure) override;
     bool headReceived(MessageReader &answer) override;
-    void bodyArrived(MessageReader &answer) override;
+    void bodyReceived(MessageReader &answer) override;
     void answerWhole(MessageReader &answer) override;
 
     void read();
--- a/src/entry/connectionpool.cpp
+++ b/src/entry/connectionpool.cpp
@@ -211,7 +211,7 @@
                 return;
         }
         if (m_inPieces && !m_skipping && !m_reader->body().empty())
-            m_owner->bodyArrived(*m_reader);
+            m_owner->bodyReceived(*m_reader);
         if (!m_owner)
             return;
         if (m_reader->done()) {
--- a/src/entry/connectionpool.h
+++ b/src/entry/connectionpool.h
@@ -71,7 +71,7 @@
     virtual bool headReceived(MessageReader &answer) = 0;
 
     /// A piece of the body arrived and stands in answer.body().
-    virtual void bodyArrived(MessageReader &answer) = 0;
+    virtual void bodyReceived(MessageReader &answer) = 0;
 
     /// The answer is whole.
     virtual void answerWhole(MessageReader &answer) = 0;
--- a/src/entry/timedcall.cpp
+++ b/src/entry/timedcall.cpp
@@ -57,7 +57,7 @@
     return true;
 }
 
-void OneCall::bodyArrived(MessageReader & /*answer*/)
+void OneCall::bodyReceived(MessageReader & /*answer*/)
 {
     m_readAt = steadyNow();
 }
--- a/src/entry/timedcall.h
+++ b/src/entry/timedcall.h
@@ -39,7 +39,7 @@
 private:
     bool maySend() override;
     bool headReceived(MessageReader &answer) override;
-    void bodyArrived(MessageReader &answer) override;
+    void bodyReceived(MessageReader &answer) override;
     void exchangeFailed(AttemptFailure failure) override;
     void answerWhole(MessageReader &answer) override;
     void armTimer();
