--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -154,7 +154,7 @@
     flush();
 }
 
-void CallerSession::answerWhole(MessageReader &answer)
+void CallerSession::answerReceived(MessageReader &answer)
 {
     m_exchange.reset();
     if (!m_flight)
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -45,7 +45,7 @@
     void exchangeFailed(AttemptFailure failure) override;
     bool headReceived(MessageReader &answer) override;
     void bodyReceived(MessageReader &answer) override;
-    void answerWhole(MessageReader &answer) override;
+    void answerReceived(MessageReader &answer) override;
 
     void read();
     void arrived(const boost::system::error_code &error, std::size_t count);
--- a/src/entry/connectionpool.cpp
+++ b/src/entry/connectionpool.cpp
@@ -234,7 +234,7 @@
     PooledConnectionPtr connection = std::move(m_connection);
     if (clean && connection->socket.is_open())
         m_pool.put(std::move(connection), steadyNow());
-    owner->answerWhole(*m_reader);
+    owner->answerReceived(*m_reader);
 }
 
 void Exchange::fail(AttemptFailure failure)
--- a/src/entry/connectionpool.h
+++ b/src/entry/connectionpool.h
@@ -74,7 +74,7 @@
     virtual void bodyReceived(MessageReader &answer) = 0;
 
     /// The answer is whole.
-    virtual void answerWhole(MessageReader &answer) = 0;
+    virtual void answerReceived(MessageReader &answer) = 0;
 };
 
 /// Settings of an exchange.
--- a/src/entry/timedcall.cpp
+++ b/src/entry/timedcall.cpp
@@ -68,7 +68,7 @@
     finish();
 }
 
-void OneCall::answerWhole(MessageReader &answer)
+void OneCall::answerReceived(MessageReader &answer)
 {
     m_outcome.status = answer.head().status;
     m_outcome.body = std::move(answer.body());
--- a/src/entry/timedcall.h
+++ b/src/entry/timedcall.h
@@ -41,7 +41,7 @@
     bool headReceived(MessageReader &answer) override;
     void bodyReceived(MessageReader &answer) override;
     void exchangeFailed(AttemptFailure failure) override;
-    void answerWhole(MessageReader &answer) override;
+    void answerReceived(MessageReader &answer) override;
     void armTimer();
     Time end() const { return m_limits.end(m_startedAt, m_readAt); }
     void finish();
