--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -122,7 +122,7 @@
     void sendOrder(const LayerOrder &order, std::uint64_t expectedOrders);
     void orderOutcome(const LayerOrder &order, OrderReply reply, int status);
     void engineCall(const std::string &endpoint, const std::string &address,
-                    const OutgoingCall &call, OneCall::Callback callback);
+                    const OutgoingCall &call, TimedCall::Callback callback);
 
     boost::asio::io_context &m_context;
     const EntrySettings &m_settings;
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -228,7 +228,7 @@
 }
 
 void Control::engineCall(const std::string &endpoint, const std::string &address,
-                         const OutgoingCall &call, OneCall::Callback callback)
+                         const OutgoingCall &call, TimedCall::Callback callback)
 {
     startCall(m_engines, endpoint, address, call, EngineWithin, std::move(callback));
 }
--- a/src/entry/storechannel.h
+++ b/src/entry/storechannel.h
@@ -51,7 +51,7 @@
     const EntryProtocol &m_protocol;
     EntryState &m_state;
     std::deque<Waiting> m_waiting;
-    std::shared_ptr<OneCall> m_running;
+    std::shared_ptr<TimedCall> m_running;
 };
 
 } // namespace balsamloft
--- a/src/entry/tablesource.cpp
+++ b/src/entry/tablesource.cpp
@@ -92,7 +92,7 @@
     settings.endpoint = m_peer.name;
     settings.address = m_peer.address;
     const Time sentAt = bootNow();
-    m_call = std::make_shared<OneCall>(
+    m_call = std::make_shared<TimedCall>(
         m_pool, std::move(settings),
         callText({"GET", updateTarget({m_table, after, wait, m_toldMs, changedWithin()}), {}},
                  m_peer.address),
--- a/src/entry/tablesource.h
+++ b/src/entry/tablesource.h
@@ -95,7 +95,7 @@
     ReadFreshness m_freshness;
     std::shared_ptr<Time> m_reportsAt;
     std::uint64_t m_toldMs = 0; ///< up to when it told of engines, on its own clock
-    std::shared_ptr<OneCall> m_call;
+    std::shared_ptr<TimedCall> m_call;
 };
 
 } // namespace balsamloft
--- a/src/entry/timedcall.cpp
+++ b/src/entry/timedcall.cpp
@@ -4,7 +4,7 @@
 
 namespace balsamloft {
 
-OneCall::OneCall(ConnectionPool &pool, ExchangeSettings settings, std::string request,
+TimedCall::TimedCall(ConnectionPool &pool, ExchangeSettings settings, std::string request,
                  CallLimits limits, Callback callback)
     : m_timer(pool.context())
     , m_limits(limits)
@@ -14,14 +14,14 @@
 {
 }
 
-void OneCall::start()
+void TimedCall::start()
 {
     m_startedAt = steadyNow();
     m_exchange->start(*this, m_startedAt);
     armTimer();
 }
 
-void OneCall::armTimer()
+void TimedCall::armTimer()
 {
     m_timer.expires_after(end() - steadyNow());
     m_timer.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
@@ -34,14 +34,14 @@
     });
 }
 
-void OneCall::cancel()
+void TimedCall::cancel()
 {
     m_over = true;
     m_timer.cancel();
     m_exchange->cancel();
 }
 
-bool OneCall::maySend()
+bool TimedCall::maySend()
 {
     m_outcome.left = true;
     if (!m_onlyConnects)
@@ -51,31 +51,31 @@
     return false;
 }
 
-bool OneCall::headReceived(MessageReader & /*answer*/)
+bool TimedCall::headReceived(MessageReader & /*answer*/)
 {
     m_readAt = steadyNow();
     return true;
 }
 
-void OneCall::bodyReceived(MessageReader & /*answer*/)
+void TimedCall::bodyReceived(MessageReader & /*answer*/)
 {
     m_readAt = steadyNow();
 }
 
-void OneCall::exchangeFailed(AttemptFailure /*failure*/)
+void TimedCall::exchangeFailed(AttemptFailure /*failure*/)
 {
     m_outcome.refused = m_exchange->refused();
     finish();
 }
 
-void OneCall::answerReceived(MessageReader &answer)
+void TimedCall::answerReceived(MessageReader &answer)
 {
     m_outcome.status = answer.head().status;
     m_outcome.body = std::move(answer.body());
     finish();
 }
 
-void OneCall::finish()
+void TimedCall::finish()
 {
     if (std::exchange(m_over, true))
         return;
@@ -85,12 +85,12 @@
 }
 
 void startCall(ConnectionPool &pool, const std::string &endpoint, const std::string &address,
-               const OutgoingCall &call, Duration within, OneCall::Callback callback)
+               const OutgoingCall &call, Duration within, TimedCall::Callback callback)
 {
     ExchangeSettings settings;
     settings.endpoint = endpoint;
     settings.address = address;
-    std::make_shared<OneCall>(pool, std::move(settings), callText(call, address), within,
+    std::make_shared<TimedCall>(pool, std::move(settings), callText(call, address), within,
                               std::move(callback))
         ->start();
 }
--- a/src/entry/timedcall.h
+++ b/src/entry/timedcall.h
@@ -23,12 +23,12 @@
 
 /// Sends one request, and gives the whole answer, or none, to a callback. An empty
 /// request only opens a connection: it counts as left once that is open.
-class OneCall : public std::enable_shared_from_this<OneCall>, private ExchangeHandler
+class TimedCall : public std::enable_shared_from_this<TimedCall>, private ExchangeHandler
 {
 public:
     using Callback = std::function<void(CallOutcome)>;
 
-    OneCall(ConnectionPool &pool, ExchangeSettings settings, std::string request, CallLimits limits,
+    TimedCall(ConnectionPool &pool, ExchangeSettings settings, std::string request, CallLimits limits,
             Callback callback);
 
     void start();
@@ -60,7 +60,7 @@
 /// Sends \a call to the endpoint with that id and address, on a kept connection
 /// where there is one.
 void startCall(ConnectionPool &pool, const std::string &endpoint, const std::string &address,
-               const OutgoingCall &call, Duration within, OneCall::Callback callback);
+               const OutgoingCall &call, Duration within, TimedCall::Callback callback);
 
 /// The text of a call to \a host, as HTTP/1.1.
 std::string callText(const OutgoingCall &call, std::string_view host);
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -223,7 +223,7 @@
     settings.endpoint = ask.endpoint;
     settings.address = ask.address;
     settings.freshConnection = true;
-    auto question = std::make_shared<OneCall>(
+    auto question = std::make_shared<TimedCall>(
         m_pool, std::move(settings),
         plain ? std::string()
               : callText({"GET", std::string(m_protocol.reportTarget()), {}}, ask.address),
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -129,7 +129,7 @@
     FleetPtr m_fleet;
     std::unordered_map<FlightId, std::shared_ptr<CallerSession>> m_flights;
     std::set<std::shared_ptr<CallerSession>> m_sessions;
-    std::map<std::string, std::shared_ptr<OneCall>> m_questions; ///< by endpoint
+    std::map<std::string, std::shared_ptr<TimedCall>> m_questions; ///< by endpoint
     bool m_stopping = false;
     Time m_stopAt {};
     Time m_prunedAt {};
