--- a/src/entry/storechannel.cpp
+++ b/src/entry/storechannel.cpp
@@ -34,7 +34,7 @@
     ExchangeSettings settings;
     settings.endpoint = "store";
     settings.address = m_address;
-    std::string text = callText(waiting.call, m_address);
+    std::string text = formatRequest(waiting.call, m_address);
     m_running = std::make_shared<TimedCall>(
         m_pool, std::move(settings), std::move(text), waiting.limits,
         [this, sentAt = bootNow(), callback = std::move(waiting.callback)](CallOutcome outcome) {
--- a/src/entry/timedcall.cpp
+++ b/src/entry/timedcall.cpp
@@ -90,12 +90,12 @@
     ExchangeSettings settings;
     settings.endpoint = endpoint;
     settings.address = address;
-    std::make_shared<TimedCall>(pool, std::move(settings), callText(call, address), within,
+    std::make_shared<TimedCall>(pool, std::move(settings), formatRequest(call, address), within,
                               std::move(callback))
         ->start();
 }
 
-std::string callText(const OutgoingCall &call, std::string_view host)
+std::string formatRequest(const OutgoingCall &call, std::string_view host)
 {
     std::string text = call.method + " " + call.target + " HTTP/1.1\r\nHost: ";
     text.append(host).append("\r\n");
--- a/src/entry/timedcall.h
+++ b/src/entry/timedcall.h
@@ -63,6 +63,6 @@
                const OutgoingCall &call, Duration within, TimedCall::Callback callback);
 
 /// The text of a call to \a host, as HTTP/1.1.
-std::string callText(const OutgoingCall &call, std::string_view host);
+std::string formatRequest(const OutgoingCall &call, std::string_view host);
 
 } // namespace balsamloft
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -226,7 +226,7 @@
     auto question = std::make_shared<TimedCall>(
         m_pool, std::move(settings),
         plain ? std::string()
-              : callText({"GET", std::string(m_protocol.reportTarget()), {}}, ask.address),
+              : formatRequest({"GET", std::string(m_protocol.reportTarget()), {}}, ask.address),
         AnswerWithin, [this, plain, askedAt, endpoint = ask.endpoint](const CallOutcome &outcome) {
             if (plain)
                 connectionChecked(endpoint, askedAt, outcome);
