--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -32,12 +32,12 @@
         , m_front(m_traffic, m_settings, *m_protocol, m_state)
         , m_control(m_controlContext, m_settings, *m_protocol, m_state, events())
         , m_readiness(m_traffic,
-                      [this](std::string_view, const TextServer::Reply &reply) {
+                      [this](std::string_view, const SimpleHttpServer::Reply &reply) {
                           reply(m_front.ready() ? TextAnswer {200, "ready\n"}
                                                 : TextAnswer {503, "not ready\n"});
                       })
         , m_metrics(m_traffic,
-                    [this](std::string_view, const TextServer::Reply &reply) {
+                    [this](std::string_view, const SimpleHttpServer::Reply &reply) {
                         reply({200, m_front.metrics()});
                     })
         , m_signals(m_traffic, SIGTERM, SIGINT, SIGHUP)
@@ -167,8 +167,8 @@
     std::unique_ptr<EntryProtocol> m_protocol;
     TrafficFront m_front;
     Control m_control;
-    TextServer m_readiness;
-    TextServer m_metrics;
+    SimpleHttpServer m_readiness;
+    SimpleHttpServer m_metrics;
     asio::signal_set m_signals;
 };
 
--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -61,7 +61,7 @@
 
 PeerServer::PeerServer(boost::asio::io_context &context)
     : m_server(context, [this](std::string_view target,
-                               TextServer::Reply reply) { asked(target, std::move(reply)); })
+                               SimpleHttpServer::Reply reply) { asked(target, std::move(reply)); })
     , m_timer(context)
 {
 }
@@ -71,7 +71,7 @@
     return m_server.listen(address, reason);
 }
 
-void PeerServer::asked(std::string_view target, TextServer::Reply reply)
+void PeerServer::asked(std::string_view target, SimpleHttpServer::Reply reply)
 {
     std::array<std::uint64_t, 5> numbers {};
     if (!target.starts_with(Prefix) || !readNumbers(target.substr(Prefix.size()), numbers)
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -85,7 +85,7 @@
         std::uint64_t statesSinceMs;
         Time knownAt; ///< what was known when it asked
         Time until;
-        TextServer::Reply reply;
+        SimpleHttpServer::Reply reply;
     };
 
     /// What is told of an engine, and since when.
@@ -102,7 +102,7 @@
         CompressedRows rows;
     };
 
-    void asked(std::string_view target, TextServer::Reply reply);
+    void asked(std::string_view target, SimpleHttpServer::Reply reply);
     TextAnswer answer(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const;
     std::string news(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const;
     static void addPacked(const CompressedRows &packed, wire::TableNews &news);
@@ -111,7 +111,7 @@
     static bool fresher(SharedTable table, const TableState &state, Time then);
     void expire();
 
-    TextServer m_server;
+    SimpleHttpServer m_server;
     boost::asio::steady_timer m_timer;
     bool m_timing = false;
     std::array<TableState, SharedTableCount> m_states;
--- a/src/entry/simplehttpserver.cpp
+++ b/src/entry/simplehttpserver.cpp
@@ -17,7 +17,7 @@
 class TextSession : public std::enable_shared_from_this<TextSession>
 {
 public:
-    TextSession(tcp::socket socket, const TextServer::Answer &answer)
+    TextSession(tcp::socket socket, const SimpleHttpServer::Answer &answer)
         : m_socket(std::move(socket))
         , m_answer(answer)
     {
@@ -63,7 +63,7 @@
     }
 
     tcp::socket m_socket;
-    const TextServer::Answer &m_answer;
+    const SimpleHttpServer::Answer &m_answer;
     std::array<char, 1024> m_buffer {};
     std::string m_in;
     std::string m_out;
@@ -73,13 +73,13 @@
 
 } // namespace
 
-TextServer::TextServer(asio::io_context &context, Answer answer)
+SimpleHttpServer::SimpleHttpServer(asio::io_context &context, Answer answer)
     : m_acceptor(context)
     , m_answer(std::move(answer))
 {
 }
 
-bool TextServer::listen(const std::string &address, Reason &reason)
+bool SimpleHttpServer::listen(const std::string &address, Reason &reason)
 {
     if (!listenAt(m_acceptor, address, reason))
         return false;
@@ -87,7 +87,7 @@
     return true;
 }
 
-void TextServer::accept()
+void SimpleHttpServer::accept()
 {
     m_acceptor.async_accept([this](const boost::system::error_code &error, tcp::socket socket) {
         if (error == asio::error::operation_aborted)
--- a/src/entry/simplehttpserver.h
+++ b/src/entry/simplehttpserver.h
@@ -21,7 +21,7 @@
 };
 
 /// Listens at an address, and answers each GET by a function.
-class TextServer
+class SimpleHttpServer
 {
 public:
     using Reply = std::function<void(TextAnswer)>;
@@ -29,7 +29,7 @@
     /// Answers a question by calling its reply, at once or later on this thread.
     using Answer = std::function<void(std::string_view target, Reply reply)>;
 
-    TextServer(boost::asio::io_context &context, Answer answer);
+    SimpleHttpServer(boost::asio::io_context &context, Answer answer);
 
     /// \return whether the address could be listened at.
     bool listen(const std::string &address, Reason &reason);
