--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -33,8 +33,8 @@
         , m_control(m_controlContext, m_settings, *m_protocol, m_state, events())
         , m_readiness(m_traffic,
                       [this](std::string_view, const SimpleHttpServer::Reply &reply) {
-                          reply(m_front.ready() ? TextAnswer {200, "ready\n"}
-                                                : TextAnswer {503, "not ready\n"});
+                          reply(m_front.ready() ? HttpAnswer {200, "ready\n"}
+                                                : HttpAnswer {503, "not ready\n"});
                       })
         , m_metrics(m_traffic,
                     [this](std::string_view, const SimpleHttpServer::Reply &reply) {
--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -93,7 +93,7 @@
 }
 
 /// A table that is not known yet is no answer: its asker must not take it for empty.
-TextAnswer PeerServer::answer(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const
+HttpAnswer PeerServer::answer(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const
 {
     if (!m_states[table].copy.known())
         return {503, {}};
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -103,7 +103,7 @@
     };
 
     void asked(std::string_view target, SimpleHttpServer::Reply reply);
-    TextAnswer answer(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const;
+    HttpAnswer answer(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const;
     std::string news(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const;
     static void addPacked(const CompressedRows &packed, wire::TableNews &news);
     void addAllRows(std::size_t table, wire::TableNews &news) const;
--- a/src/entry/simplehttpserver.cpp
+++ b/src/entry/simplehttpserver.cpp
@@ -44,10 +44,10 @@
             return read();
         m_keep = m_request.keepAlive();
         m_answer(m_request.head().target,
-                 [self = shared_from_this()](const TextAnswer &answer) { self->write(answer); });
+                 [self = shared_from_this()](const HttpAnswer &answer) { self->write(answer); });
     }
 
-    void write(const TextAnswer &answer)
+    void write(const HttpAnswer &answer)
     {
         m_out =
             "HTTP/1.1 " + std::to_string(answer.status) + " " + (answer.status == 200 ? "OK" : "No")
--- a/src/entry/simplehttpserver.h
+++ b/src/entry/simplehttpserver.h
@@ -14,7 +14,7 @@
 namespace balsamloft {
 
 /// Status and text of an answer.
-struct TextAnswer
+struct HttpAnswer
 {
     int status = 200;
     std::string text;
@@ -24,7 +24,7 @@
 class SimpleHttpServer
 {
 public:
-    using Reply = std::function<void(TextAnswer)>;
+    using Reply = std::function<void(HttpAnswer)>;
 
     /// Answers a question by calling its reply, at once or later on this thread.
     using Answer = std::function<void(std::string_view target, Reply reply)>;
