--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -93,7 +93,7 @@
     for (const HeaderField &field : head.fields) {
         const bool listed = std::any_of(connection.begin(), connection.end(),
                                         [&](auto &each) { return sameName(each, field.name); });
-        if (!isConnectionField(field.name) && !listed)
+        if (!isHopByHopField(field.name) && !listed)
             m_out += field.name + ": " + field.value + "\r\n";
     }
     m_out += length ? "Content-Length: " + std::to_string(*length) + "\r\n"
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -212,7 +212,7 @@
     };
     m_kept = head.method + " " + head.target + " HTTP/1.1\r\n";
     for (const HeaderField &field : head.fields)
-        if (!isConnectionField(field.name) && !listed(own, field.name)
+        if (!isHopByHopField(field.name) && !listed(own, field.name)
             && !listed(connection, field.name))
             m_kept += field.name + ": " + field.value + "\r\n";
     if (!m_teamName.empty())
--- a/src/entry/httpmessage.cpp
+++ b/src/entry/httpmessage.cpp
@@ -24,7 +24,7 @@
     return std::nullopt;
 }
 
-bool isConnectionField(std::string_view name)
+bool isHopByHopField(std::string_view name)
 {
     static constexpr std::array<std::string_view, 10> Names {
         "Connection", "Keep-Alive", "Proxy-Connection",  "Proxy-Authenticate", "TE",
--- a/src/entry/httpmessage.h
+++ b/src/entry/httpmessage.h
@@ -35,7 +35,7 @@
 
 /// Whether \a name concerns one connection only, and is not passed on. Fields
 /// named by Connection count too: see connectionFields().
-bool isConnectionField(std::string_view name);
+bool isHopByHopField(std::string_view name);
 
 /// Names that the Connection fields of \a head list.
 std::vector<std::string> connectionFields(const MessageHead &head);
--- a/src/entry/httpmessage_test.cpp
+++ b/src/entry/httpmessage_test.cpp
@@ -78,8 +78,8 @@
     MessageReader reader(MessageReader::Kind::Request, {});
     reader.take("GET /a HTTP/1.1\r\nHost: h\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\n\r\n");
     REQUIRE(reader.done());
-    CHECK(isConnectionField("keep-alive"));
-    CHECK_FALSE(isConnectionField("Host"));
+    CHECK(isHopByHopField("keep-alive"));
+    CHECK_FALSE(isHopByHopField("Host"));
     CHECK(connectionFields(reader.head()) == std::vector<std::string> {"close", "X-Hop"});
     CHECK_FALSE(reader.keepAlive());
 }
