--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -86,7 +86,7 @@
 
 void CallerSession::writeHead(const MessageHead &head, std::optional<std::size_t> length)
 {
-    const std::vector<std::string> connection = connectionFields(head);
+    const std::vector<std::string> connection = connectionOptions(head);
     m_closeAfter = m_closeAfter || m_front.stopping();
     m_out += "HTTP/1.1 " + std::to_string(head.status) + " " + std::string(statusText(head.status))
              + "\r\n";
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -205,7 +205,7 @@
     const std::array<std::string_view, 8> own {
         names.key,     names.team,     names.expectedEndpoint, names.path,
         names.urgency, names.deadline, names.expectedVersion,  names.lastEvent};
-    const std::vector<std::string> connection = connectionFields(head);
+    const std::vector<std::string> connection = connectionOptions(head);
     const auto listed = [](const auto &list, std::string_view name) {
         return std::any_of(list.begin(), list.end(),
                            [&](std::string_view each) { return sameName(each, name); });
--- a/src/entry/httpmessage.cpp
+++ b/src/entry/httpmessage.cpp
@@ -33,7 +33,7 @@
                        [&](std::string_view each) { return sameName(each, name); });
 }
 
-std::vector<std::string> connectionFields(const MessageHead &head)
+std::vector<std::string> connectionOptions(const MessageHead &head)
 {
     std::vector<std::string> names;
     for (const HeaderField &field : head.fields)
--- a/src/entry/httpmessage.h
+++ b/src/entry/httpmessage.h
@@ -34,11 +34,11 @@
 bool sameName(std::string_view left, std::string_view right);
 
 /// Whether \a name concerns one connection only, and is not passed on. Fields
-/// named by Connection count too: see connectionFields().
+/// named by Connection count too: see connectionOptions().
 bool isHopByHopField(std::string_view name);
 
 /// Names that the Connection fields of \a head list.
-std::vector<std::string> connectionFields(const MessageHead &head);
+std::vector<std::string> connectionOptions(const MessageHead &head);
 
 /// Bounds of a message.
 struct MessageLimits
--- a/src/entry/httpmessage_test.cpp
+++ b/src/entry/httpmessage_test.cpp
@@ -80,6 +80,6 @@
     REQUIRE(reader.done());
     CHECK(isHopByHopField("keep-alive"));
     CHECK_FALSE(isHopByHopField("Host"));
-    CHECK(connectionFields(reader.head()) == std::vector<std::string> {"close", "X-Hop"});
+    CHECK(connectionOptions(reader.head()) == std::vector<std::string> {"close", "X-Hop"});
     CHECK_FALSE(reader.keepAlive());
 }
