--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -92,7 +92,7 @@
              + "\r\n";
     for (const HeaderField &field : head.fields) {
         const bool listed = std::any_of(connection.begin(), connection.end(),
-                                        [&](auto &each) { return sameName(each, field.name); });
+                                        [&](auto &each) { return sameFieldName(each, field.name); });
         if (!isHopByHopField(field.name) && !listed)
             m_out += field.name + ": " + field.value + "\r\n";
     }
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -208,7 +208,7 @@
     const std::vector<std::string> connection = connectionOptions(head);
     const auto listed = [](const auto &list, std::string_view name) {
         return std::any_of(list.begin(), list.end(),
-                           [&](std::string_view each) { return sameName(each, name); });
+                           [&](std::string_view each) { return sameFieldName(each, name); });
     };
     m_kept = head.method + " " + head.target + " HTTP/1.1\r\n";
     for (const HeaderField &field : head.fields)
--- a/src/entry/httpmessage.cpp
+++ b/src/entry/httpmessage.cpp
@@ -11,7 +11,7 @@
 
 namespace balsamloft {
 
-bool sameName(std::string_view left, std::string_view right)
+bool sameFieldName(std::string_view left, std::string_view right)
 {
     return boost::beast::iequals(left, right);
 }
@@ -19,7 +19,7 @@
 std::optional<std::string_view> MessageHead::find(std::string_view name) const
 {
     for (const HeaderField &field : fields)
-        if (sameName(field.name, name))
+        if (sameFieldName(field.name, name))
             return field.value;
     return std::nullopt;
 }
@@ -30,14 +30,14 @@
         "Connection", "Keep-Alive", "Proxy-Connection",  "Proxy-Authenticate", "TE",
         "Trailer",    "Upgrade",    "Transfer-Encoding", "Content-Length",     "Expect"};
     return std::any_of(Names.begin(), Names.end(),
-                       [&](std::string_view each) { return sameName(each, name); });
+                       [&](std::string_view each) { return sameFieldName(each, name); });
 }
 
 std::vector<std::string> connectionOptions(const MessageHead &head)
 {
     std::vector<std::string> names;
     for (const HeaderField &field : head.fields)
-        if (sameName(field.name, "Connection"))
+        if (sameFieldName(field.name, "Connection"))
             for (const auto token : http::token_list {field.value})
                 names.emplace_back(token);
     return names;
--- a/src/entry/httpmessage.h
+++ b/src/entry/httpmessage.h
@@ -31,7 +31,7 @@
 };
 
 /// Whether two header names are the same.
-bool sameName(std::string_view left, std::string_view right);
+bool sameFieldName(std::string_view left, std::string_view right);
 
 /// Whether \a name concerns one connection only, and is not passed on. Fields
 /// named by Connection count too: see connectionOptions().
