--- a/src/entry/sockets.cpp
+++ b/src/entry/sockets.cpp
@@ -38,7 +38,7 @@
     return !error;
 }
 
-bool isQuiet(tcp::socket &socket)
+bool isIdleConnection(tcp::socket &socket)
 {
     char byte = 0;
     const auto count = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
--- a/src/entry/sockets.h
+++ b/src/entry/sockets.h
@@ -22,6 +22,6 @@
 bool listenAt(boost::asio::ip::tcp::acceptor &acceptor, const std::string &address, Reason &reason);
 
 /// Whether a connection that should be idle is open and has nothing to read.
-bool isQuiet(boost::asio::ip::tcp::socket &socket);
+bool isIdleConnection(boost::asio::ip::tcp::socket &socket);
 
 } // namespace balsamloft
