--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -104,8 +104,8 @@
     answer.notExecuted = head.find(names.notExecuted).has_value();
     answer.provenExecuted = head.find(names.executionProof).has_value();
     answer.atAddress = head.find(names.atAddress).value_or("");
-    answer.running = numberFrom<std::uint32_t>(head.find(names.load).value_or(""));
-    answer.rateLimit = numberFrom<double>(head.find(names.rateLimit).value_or(""));
+    answer.running = leadingNumber<std::uint32_t>(head.find(names.load).value_or(""));
+    answer.rateLimit = leadingNumber<double>(head.find(names.rateLimit).value_or(""));
     return answer;
 }
 
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -174,16 +174,16 @@
     request.table = table;
     request.route = m_route = &route;
     request.service = table->target(route, m_requestId);
-    const auto deadline = numberFrom<std::int64_t>(head.find(names.deadline).value_or(""));
+    const auto deadline = leadingNumber<std::int64_t>(head.find(names.deadline).value_or(""));
     request.timeLeft = deadline ? Duration(*deadline * 1000) : route.timeout;
     const std::string_view tokens = head.find(names.tokenCount).value_or("");
-    request.promptTokens = numberFrom<std::uint32_t>(tokens).value_or(0);
+    request.promptTokens = leadingNumber<std::uint32_t>(tokens).value_or(0);
     const std::size_t comma = tokens.find(',');
     if (comma != std::string_view::npos)
-        request.answerTokens = numberFrom<std::uint32_t>(tokens.substr(comma + 1)).value_or(0);
-    if (const auto hint = numberFrom<std::uint32_t>(head.find(names.lengthHint).value_or("")))
+        request.answerTokens = leadingNumber<std::uint32_t>(tokens.substr(comma + 1)).value_or(0);
+    if (const auto hint = leadingNumber<std::uint32_t>(head.find(names.lengthHint).value_or("")))
         request.answerTokens = std::min(request.answerTokens, *hint);
-    m_callerAfter = numberFrom<std::uint64_t>(head.find(names.lastEvent).value_or(""));
+    m_callerAfter = leadingNumber<std::uint64_t>(head.find(names.lastEvent).value_or(""));
     keepHeaders();
     RelayActions actions;
     m_flight = m_front.relay().submit(std::move(request), now, actions);
--- a/src/entry/fieldtext.h
+++ b/src/entry/fieldtext.h
@@ -13,7 +13,7 @@
 
 /// The number that \a text begins with, after spaces; nothing when there is none.
 template<typename Number>
-std::optional<Number> numberFrom(std::string_view text)
+std::optional<Number> leadingNumber(std::string_view text)
 {
     while (text.starts_with(' '))
         text.remove_prefix(1);
