--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -26,7 +26,7 @@
 /// Nothing when another writer than an instance wrote the row.
 std::optional<TrialRow> trialOf(const StoreRow &row)
 {
-    const auto object = rowObject(row);
+    const auto object = parseRow(row);
     if (!object)
         return std::nullopt;
     const auto at = rowText(*object, "at");
@@ -56,7 +56,7 @@
 std::optional<CrashRecord> crashOf(const StoreRow &row)
 {
     const std::size_t slash = row.key.find('/');
-    const auto object = rowObject(row);
+    const auto object = parseRow(row);
     const auto atMs = object ? rowNumber(*object, "at_ms") : std::nullopt;
     if (slash == std::string::npos || !atMs)
         return std::nullopt;
--- a/src/entry/controlinstances.cpp
+++ b/src/entry/controlinstances.cpp
@@ -78,7 +78,7 @@
     const TableState &known = m_server.state(SharedTable::Instances);
     std::vector<InstanceRow> rows;
     for (const StoreRow &row : known.copy.all()) {
-        const auto object = rowObject(row);
+        const auto object = parseRow(row);
         const auto domain = object ? rowText(*object, "domain") : std::nullopt;
         const auto peer = object ? rowText(*object, "peer") : std::nullopt;
         const auto seen = object ? rowNumber(*object, "seen_ms") : std::nullopt;
--- a/src/entry/rowfields.cpp
+++ b/src/entry/rowfields.cpp
@@ -4,7 +4,7 @@
 
 namespace balsamloft {
 
-std::optional<json::object> rowObject(const StoreRow &row)
+std::optional<json::object> parseRow(const StoreRow &row)
 {
     boost::system::error_code error;
     json::value value = json::parse(row.value, error);
--- a/src/entry/rowfields.h
+++ b/src/entry/rowfields.h
@@ -10,7 +10,7 @@
 
 namespace balsamloft {
 
-std::optional<boost::json::object> rowObject(const StoreRow &row);
+std::optional<boost::json::object> parseRow(const StoreRow &row);
 std::optional<std::int64_t> rowNumber(const boost::json::object &object, std::string_view name);
 std::optional<std::string> rowText(const boost::json::object &object, std::string_view name);
 
