--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -31,8 +31,8 @@
         return std::nullopt;
     const auto at = rowText(*object, "at");
     const auto holder = rowText(*object, "by");
-    const auto until = rowNumber(*object, "until_ms");
-    const auto tries = rowNumber(*object, "tries");
+    const auto until = numberField(*object, "until_ms");
+    const auto tries = numberField(*object, "tries");
     if (!at || !holder || !until || !tries || *tries < 0)
         return std::nullopt;
     return TrialRow {row.key, row.version,    *at,
@@ -57,7 +57,7 @@
 {
     const std::size_t slash = row.key.find('/');
     const auto object = parseRow(row);
-    const auto atMs = object ? rowNumber(*object, "at_ms") : std::nullopt;
+    const auto atMs = object ? numberField(*object, "at_ms") : std::nullopt;
     if (slash == std::string::npos || !atMs)
         return std::nullopt;
     return CrashRecord {row.key.substr(0, slash), row.key.substr(slash + 1), timeOf(*atMs)};
--- a/src/entry/controlinstances.cpp
+++ b/src/entry/controlinstances.cpp
@@ -81,7 +81,7 @@
         const auto object = parseRow(row);
         const auto domain = object ? rowText(*object, "domain") : std::nullopt;
         const auto peer = object ? rowText(*object, "peer") : std::nullopt;
-        const auto seen = object ? rowNumber(*object, "seen_ms") : std::nullopt;
+        const auto seen = object ? numberField(*object, "seen_ms") : std::nullopt;
         if (domain && peer && seen)
             rows.push_back({{row.key, *domain, *peer}, *seen});
     }
--- a/src/entry/rowfields.cpp
+++ b/src/entry/rowfields.cpp
@@ -11,7 +11,7 @@
     return !error && value.is_object() ? std::optional(value.get_object()) : std::nullopt;
 }
 
-std::optional<std::int64_t> rowNumber(const json::object &object, std::string_view name)
+std::optional<std::int64_t> numberField(const json::object &object, std::string_view name)
 {
     const json::value *value = object.if_contains(name);
     return value && value->is_int64() ? std::optional(value->get_int64()) : std::nullopt;
