--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -29,8 +29,8 @@
     const auto object = parseRow(row);
     if (!object)
         return std::nullopt;
-    const auto at = rowText(*object, "at");
-    const auto holder = rowText(*object, "by");
+    const auto at = textField(*object, "at");
+    const auto holder = textField(*object, "by");
     const auto until = numberField(*object, "until_ms");
     const auto tries = numberField(*object, "tries");
     if (!at || !holder || !until || !tries || *tries < 0)
--- a/src/entry/controlinstances.cpp
+++ b/src/entry/controlinstances.cpp
@@ -79,8 +79,8 @@
     std::vector<InstanceRow> rows;
     for (const StoreRow &row : known.copy.all()) {
         const auto object = parseRow(row);
-        const auto domain = object ? rowText(*object, "domain") : std::nullopt;
-        const auto peer = object ? rowText(*object, "peer") : std::nullopt;
+        const auto domain = object ? textField(*object, "domain") : std::nullopt;
+        const auto peer = object ? textField(*object, "peer") : std::nullopt;
         const auto seen = object ? numberField(*object, "seen_ms") : std::nullopt;
         if (domain && peer && seen)
             rows.push_back({{row.key, *domain, *peer}, *seen});
--- a/src/entry/rowfields.cpp
+++ b/src/entry/rowfields.cpp
@@ -17,7 +17,7 @@
     return value && value->is_int64() ? std::optional(value->get_int64()) : std::nullopt;
 }
 
-std::optional<std::string> rowText(const json::object &object, std::string_view name)
+std::optional<std::string> textField(const json::object &object, std::string_view name)
 {
     const json::value *value = object.if_contains(name);
     return value && value->is_string() ? std::optional(std::string(value->get_string()))
--- a/src/entry/rowfields.h
+++ b/src/entry/rowfields.h
@@ -12,7 +12,7 @@
 
 std::optional<boost::json::object> parseRow(const StoreRow &row);
 std::optional<std::int64_t> numberField(const boost::json::object &object, std::string_view name);
-std::optional<std::string> rowText(const boost::json::object &object, std::string_view name);
+std::optional<std::string> textField(const boost::json::object &object, std::string_view name);
 
 /// Times stand in rows as milliseconds of the store's clock.
 Time timeOf(std::int64_t milliseconds);
