--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -36,7 +36,7 @@
     if (!at || !holder || !until || !tries || *tries < 0)
         return std::nullopt;
     return TrialRow {row.key, row.version,    *at,
-                     *holder, timeOf(*until), static_cast<std::uint32_t>(*tries)};
+                     *holder, timeFromMilliseconds(*until), static_cast<std::uint32_t>(*tries)};
 }
 
 std::string valueOf(const TrialRow &row)
@@ -60,7 +60,7 @@
     const auto atMs = object ? numberField(*object, "at_ms") : std::nullopt;
     if (slash == std::string::npos || !atMs)
         return std::nullopt;
-    return CrashRecord {row.key.substr(0, slash), row.key.substr(slash + 1), timeOf(*atMs)};
+    return CrashRecord {row.key.substr(0, slash), row.key.substr(slash + 1), timeFromMilliseconds(*atMs)};
 }
 
 } // namespace
--- a/src/entry/rowfields.cpp
+++ b/src/entry/rowfields.cpp
@@ -24,7 +24,7 @@
                                        : std::nullopt;
 }
 
-Time timeOf(std::int64_t milliseconds)
+Time timeFromMilliseconds(std::int64_t milliseconds)
 {
     return Time(std::chrono::milliseconds(milliseconds));
 }
--- a/src/entry/rowfields.h
+++ b/src/entry/rowfields.h
@@ -15,7 +15,7 @@
 std::optional<std::string> textField(const boost::json::object &object, std::string_view name);
 
 /// Times stand in rows as milliseconds of the store's clock.
-Time timeOf(std::int64_t milliseconds);
+Time timeFromMilliseconds(std::int64_t milliseconds);
 std::int64_t millisecondsOf(Time time);
 
 } // namespace balsamloft
