--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -43,7 +43,7 @@
 {
     return json::serialize(json::object {{"at", row.at},
                                          {"by", row.holder},
-                                         {"until_ms", millisecondsOf(row.until)},
+                                         {"until_ms", toMilliseconds(row.until)},
                                          {"tries", row.tries}});
 }
 
@@ -75,7 +75,7 @@
     for (const CrashRecord &each : news.added) {
         const Time bootTime = bootNow() - (steadyNow() - each.at);
         m_crashWrites[keyOf(each)] =
-            textOfEnd(millisecondsOf(bootTime + *m_storeOffset), m_settings.name);
+            textOfEnd(toMilliseconds(bootTime + *m_storeOffset), m_settings.name);
     }
     for (const CrashRecord &each : news.removed)
         m_crashWrites[keyOf(each)] = std::nullopt;
@@ -194,7 +194,7 @@
     if (change.crash)
         transaction.writes.push_back(
             {std::string(CrashTable), keyOf(*change.crash),
-             textOfEnd(millisecondsOf(change.crash->at), m_settings.name)});
+             textOfEnd(toMilliseconds(change.crash->at), m_settings.name)});
     m_crashChannel.call(StoreUse::OwnRow, m_protocol.commit(transaction), StoreCallWithin,
                         [this, change, written = std::move(written)](const StoreAnswer &answer) {
                             const bool done = answer.reply.kind == StoreReply::Kind::Done;
--- a/src/entry/controlinstances.cpp
+++ b/src/entry/controlinstances.cpp
@@ -110,7 +110,7 @@
     if (!leaving)
         write.value = json::serialize(json::object {{"domain", m_settings.domain},
                                                     {"peer", m_settings.peers},
-                                                    {"seen_ms", millisecondsOf(storeNow())}});
+                                                    {"seen_ms", toMilliseconds(storeNow())}});
     Transaction transaction;
     transaction.writes.push_back(std::move(write));
     m_channel.call(StoreUse::OwnRow, m_protocol.commit(transaction), StoreCallWithin,
--- a/src/entry/rowfields.cpp
+++ b/src/entry/rowfields.cpp
@@ -29,7 +29,7 @@
     return Time(std::chrono::milliseconds(milliseconds));
 }
 
-std::int64_t millisecondsOf(Time time)
+std::int64_t toMilliseconds(Time time)
 {
     return time.time_since_epoch().count() / 1000;
 }
--- a/src/entry/rowfields.h
+++ b/src/entry/rowfields.h
@@ -16,6 +16,6 @@
 
 /// Times stand in rows as milliseconds of the store's clock.
 Time timeFromMilliseconds(std::int64_t milliseconds);
-std::int64_t millisecondsOf(Time time);
+std::int64_t toMilliseconds(Time time);
 
 } // namespace balsamloft
