--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -137,7 +137,7 @@
     void reload()
     {
         Reason reason;
-        const auto fresh = rereadEntrySettings(reason);
+        const auto fresh = reloadEntrySettings(reason);
         if (!fresh)
             return logDecision("entry", "settings not taken",
                                {{"reason", std::string_view(reason)}});
--- a/src/entry/settings.cpp
+++ b/src/entry/settings.cpp
@@ -116,7 +116,7 @@
     return settingsFromFlags(reason);
 }
 
-std::optional<EntrySettings> rereadEntrySettings(Reason &reason)
+std::optional<EntrySettings> reloadEntrySettings(Reason &reason)
 {
     std::string file;
     if (!gflags::GetCommandLineOption("flagfile", &file) || file.empty()) {
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -39,7 +39,7 @@
 /// Reads the file of `--flagfile` once more, for a process that runs. Flags that
 /// it does not name keep what they had at the start. Nothing, and a reason, when
 /// there is no such file or a value is malformed: then nothing changes.
-std::optional<EntrySettings> rereadEntrySettings(Reason &reason);
+std::optional<EntrySettings> reloadEntrySettings(Reason &reason);
 
 /// Names of the flags that differ and take effect only at a start.
 std::string needingRestart(const EntrySettings &before, const EntrySettings &after);
