--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -141,7 +141,7 @@
         if (!fresh)
             return logDecision("entry", "settings not taken",
                                {{"reason", std::string_view(reason)}});
-        const std::string restart = needingRestart(m_settings, *fresh);
+        const std::string restart = flagsNeedingRestart(m_settings, *fresh);
         m_front.reload(*fresh);
         logDecision("entry", "reloaded",
                     {{"revocation_ms", fresh->revocation.count() / 1000},
--- a/src/entry/settings.cpp
+++ b/src/entry/settings.cpp
@@ -129,7 +129,7 @@
     return settingsFromFlags(reason);
 }
 
-std::string needingRestart(const EntrySettings &before, const EntrySettings &after)
+std::string flagsNeedingRestart(const EntrySettings &before, const EntrySettings &after)
 {
     struct Member
     {
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -42,6 +42,6 @@
 std::optional<EntrySettings> reloadEntrySettings(Reason &reason);
 
 /// Names of the flags that differ and take effect only at a start.
-std::string needingRestart(const EntrySettings &before, const EntrySettings &after);
+std::string flagsNeedingRestart(const EntrySettings &before, const EntrySettings &after);
 
 } // namespace balsamloft
