--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -182,7 +182,7 @@
     auto settings = balsamloft::readEntrySettings(argc, argv, reason);
     if (!settings) {
         std::cerr << "balsamloft-entry: " << reason << "\n";
-        return balsamloft::BadSettings;
+        return balsamloft::InvalidSettingsExitCode;
     }
     balsamloft::setUpDecisionLog(settings->name, settings->domain);
     return balsamloft::Entry(std::move(*settings)).run();
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -30,7 +30,7 @@
 };
 
 /// Exit code of a process whose settings cannot be used.
-inline constexpr int BadSettings = 2;
+inline constexpr int InvalidSettingsExitCode = 2;
 
 /// Reads flags and environment; nothing, and a reason, when a value is missing
 /// or malformed.
