--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -55,7 +55,7 @@
             return CannotListen;
         }
         logDecision("entry", "started",
-                    {{"callers", std::string_view(m_settings.callers)},
+                    {{"callers", std::string_view(m_settings.callerAddress)},
                      {"store", std::string_view(m_settings.store)}});
         m_front.onSilentEngine([this](std::string id) {
             asio::post(m_controlContext,
--- a/src/entry/settings.cpp
+++ b/src/entry/settings.cpp
@@ -65,7 +65,7 @@
     EntrySettings settings;
     settings.name = FLAGS_name;
     settings.domain = FLAGS_domain;
-    settings.callers = FLAGS_listen;
+    settings.callerAddress = FLAGS_listen;
     settings.readiness = FLAGS_ready_listen;
     settings.peers = FLAGS_peer_listen;
     settings.metrics = FLAGS_metrics_listen;
@@ -138,7 +138,7 @@
     };
     static constexpr Member Members[] = {
         {"name", &EntrySettings::name},         {"domain", &EntrySettings::domain},
-        {"listen", &EntrySettings::callers},    {"ready_listen", &EntrySettings::readiness},
+        {"listen", &EntrySettings::callerAddress},    {"ready_listen", &EntrySettings::readiness},
         {"peer_listen", &EntrySettings::peers}, {"metrics_listen", &EntrySettings::metrics},
         {"store", &EntrySettings::store}};
     std::string names;
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -15,7 +15,7 @@
 {
     std::string name;
     std::string domain;
-    std::string callers; ///< "IP:port" to listen at
+    std::string callerAddress; ///< "IP:port" to listen at
     std::string readiness; ///< "IP:port" to listen at
     std::string peers; ///< "IP:port" at which other instances ask
     std::string metrics; ///< "IP:port" to listen at; empty: none
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -65,7 +65,7 @@
 
 bool TrafficFront::listen(Reason &reason)
 {
-    if (!listenAt(m_acceptor, m_settings.callers, reason))
+    if (!listenAt(m_acceptor, m_settings.callerAddress, reason))
         return false;
     accept();
     armTimer();
