--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -47,7 +47,7 @@
     int run()
     {
         Reason reason;
-        if (!m_front.listen(reason) || !m_readiness.listen(m_settings.readiness, reason)
+        if (!m_front.listen(reason) || !m_readiness.listen(m_settings.readinessAddress, reason)
             || !m_control.listen(reason)
             || (!m_settings.metrics.empty() && !m_metrics.listen(m_settings.metrics, reason))) {
             logDecision("entry", "cannot start", {{"reason", std::string_view(reason)}});
--- a/src/entry/settings.cpp
+++ b/src/entry/settings.cpp
@@ -66,7 +66,7 @@
     settings.name = FLAGS_name;
     settings.domain = FLAGS_domain;
     settings.callerAddress = FLAGS_listen;
-    settings.readiness = FLAGS_ready_listen;
+    settings.readinessAddress = FLAGS_ready_listen;
     settings.peers = FLAGS_peer_listen;
     settings.metrics = FLAGS_metrics_listen;
     settings.store = FLAGS_store;
@@ -138,7 +138,7 @@
     };
     static constexpr Member Members[] = {
         {"name", &EntrySettings::name},         {"domain", &EntrySettings::domain},
-        {"listen", &EntrySettings::callerAddress},    {"ready_listen", &EntrySettings::readiness},
+        {"listen", &EntrySettings::callerAddress},    {"ready_listen", &EntrySettings::readinessAddress},
         {"peer_listen", &EntrySettings::peers}, {"metrics_listen", &EntrySettings::metrics},
         {"store", &EntrySettings::store}};
     std::string names;
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -16,7 +16,7 @@
     std::string name;
     std::string domain;
     std::string callerAddress; ///< "IP:port" to listen at
-    std::string readiness; ///< "IP:port" to listen at
+    std::string readinessAddress; ///< "IP:port" to listen at
     std::string peers; ///< "IP:port" at which other instances ask
     std::string metrics; ///< "IP:port" to listen at; empty: none
     std::string store; ///< "IP:port"
