--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -317,7 +317,7 @@
      "if (!m_gathered.headDone)\n", "",
      "httpmessage_test: trailers are no header fields"),
     ("age of keys", "src/entry/trafficserver.cpp",
-     "return m_state.keyAge(bootNow()) < m_settings.revocation - KeyMargin;", "return true;",
+     "return m_state.keyAge(bootNow()) < m_settings.revocationTime - KeyMargin;", "return true;",
      "testsuite: an unknown key is refused, and so is a known one once the store was silent too long"),
     ("the echo of an answer", "src/entry/connectionpool.cpp",
      "interim || (!m_settings.requestId.empty() && echoed && *echoed != m_settings.requestId);",
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -144,7 +144,7 @@
         const std::string restart = flagsNeedingRestart(m_settings, *fresh);
         m_front.reload(*fresh);
         logDecision("entry", "reloaded",
-                    {{"revocation_ms", fresh->revocation.count() / 1000},
+                    {{"revocation_ms", fresh->revocationTime.count() / 1000},
                      {"grace_ms", fresh->grace.count() / 1000},
                      {"retry_ratio", fresh->retryRatio},
                      {"retry_slack", fresh->retrySlack},
--- a/src/entry/settings.cpp
+++ b/src/entry/settings.cpp
@@ -70,7 +70,7 @@
     settings.peers = FLAGS_peer_listen;
     settings.metrics = FLAGS_metrics_listen;
     settings.store = FLAGS_store;
-    settings.revocation = milliseconds(FLAGS_revocation_ms);
+    settings.revocationTime = milliseconds(FLAGS_revocation_ms);
     settings.heartbeatInterval = milliseconds(FLAGS_beat_ms);
     settings.grace = milliseconds(FLAGS_grace_s * 1000);
     settings.retryRatio = FLAGS_retry_ratio;
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -20,7 +20,7 @@
     std::string peers; ///< "IP:port" at which other instances ask
     std::string metrics; ///< "IP:port" to listen at; empty: none
     std::string store; ///< "IP:port"
-    Duration revocation {}; ///< a withdrawn key is refused everywhere after this time
+    Duration revocationTime {}; ///< a withdrawn key is refused everywhere after this time
     Duration heartbeatInterval {}; ///< how often endpoints write themselves down
     Duration grace {}; ///< from the signal to stop to the end
     double retryRatio = 0; ///< repeats over requests, all instances together
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -137,7 +137,7 @@
 
 void TrafficFront::reload(const EntrySettings &settings)
 {
-    m_settings.revocation = settings.revocation;
+    m_settings.revocationTime = settings.revocationTime;
     m_settings.grace = settings.grace;
     m_settings.retryRatio = settings.retryRatio;
     m_settings.retrySlack = settings.retrySlack;
@@ -155,14 +155,14 @@
 
 bool TrafficFront::keysFresh() const
 {
-    return m_state.keyAge(bootNow()) < m_settings.revocation - KeyMargin;
+    return m_state.keyAge(bootNow()) < m_settings.revocationTime - KeyMargin;
 }
 
 bool TrafficFront::ready() const
 {
     const Duration age = m_state.keyAge(bootNow());
     return m_table && m_state.fleetKnown && !m_stopping
-           && age < Duration(static_cast<std::int64_t>(m_settings.revocation.count() * ReadyShare));
+           && age < Duration(static_cast<std::int64_t>(m_settings.revocationTime.count() * ReadyShare));
 }
 
 bool TrafficFront::takes(RequestKind kind, Time now) const
