--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -145,7 +145,7 @@
         m_front.reload(*fresh);
         logDecision("entry", "reloaded",
                     {{"revocation_ms", fresh->revocationTime.count() / 1000},
-                     {"grace_ms", fresh->grace.count() / 1000},
+                     {"grace_ms", fresh->gracePeriod.count() / 1000},
                      {"retry_ratio", fresh->retryRatio},
                      {"retry_slack", fresh->retrySlack},
                      {"needs_restart", std::string_view(restart)}});
--- a/src/entry/settings.cpp
+++ b/src/entry/settings.cpp
@@ -72,7 +72,7 @@
     settings.store = FLAGS_store;
     settings.revocationTime = milliseconds(FLAGS_revocation_ms);
     settings.heartbeatInterval = milliseconds(FLAGS_beat_ms);
-    settings.grace = milliseconds(FLAGS_grace_s * 1000);
+    settings.gracePeriod = milliseconds(FLAGS_grace_s * 1000);
     settings.retryRatio = FLAGS_retry_ratio;
     settings.retrySlack = FLAGS_retry_slack;
     settings.retryWindow = milliseconds(FLAGS_retry_window_s * 1000);
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -22,7 +22,7 @@
     std::string store; ///< "IP:port"
     Duration revocationTime {}; ///< a withdrawn key is refused everywhere after this time
     Duration heartbeatInterval {}; ///< how often endpoints write themselves down
-    Duration grace {}; ///< from the signal to stop to the end
+    Duration gracePeriod {}; ///< from the signal to stop to the end
     double retryRatio = 0; ///< repeats over requests, all instances together
     double retrySlack = 0; ///< repeats beyond the ratio in a window, all instances together
     Duration retryWindow {}; ///< the window
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -138,7 +138,7 @@
 void TrafficFront::reload(const EntrySettings &settings)
 {
     m_settings.revocationTime = settings.revocationTime;
-    m_settings.grace = settings.grace;
+    m_settings.gracePeriod = settings.gracePeriod;
     m_settings.retryRatio = settings.retryRatio;
     m_settings.retrySlack = settings.retrySlack;
     m_settings.logAll = settings.logAll;
@@ -173,7 +173,7 @@
 
 Duration TrafficFront::graceShare(double share) const
 {
-    return Duration(static_cast<std::int64_t>(m_settings.grace.count() * share));
+    return Duration(static_cast<std::int64_t>(m_settings.gracePeriod.count() * share));
 }
 
 void TrafficFront::attach(FlightId flight, std::shared_ptr<CallerSession> session)
@@ -388,7 +388,7 @@
                                                                m_sessions.end());
     for (const auto &session : sessions)
         session->closeIfIdle(now);
-    if (m_sessions.empty() || now - m_stopAt >= m_settings.grace - StopMargin) {
+    if (m_sessions.empty() || now - m_stopAt >= m_settings.gracePeriod - StopMargin) {
         m_acceptor.close();
         if (m_stopped)
             std::exchange(m_stopped, nullptr)();
