--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-CallerSession::CallerSession(TrafficFront &front, asio::ip::tcp::socket socket)
+CallerSession::CallerSession(TrafficServer &front, asio::ip::tcp::socket socket)
     : m_front(front)
     , m_socket(std::move(socket))
 {
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -11,14 +11,14 @@
 
 namespace balsamloft {
 
-class TrafficFront;
+class TrafficServer;
 
 /// Reads requests one after another, keeps the bytes of the present one while
 /// the relay decides on it, and writes the answer.
 class CallerSession : public std::enable_shared_from_this<CallerSession>, private ExchangeHandler
 {
 public:
-    CallerSession(TrafficFront &front, boost::asio::ip::tcp::socket socket);
+    CallerSession(TrafficServer &front, boost::asio::ip::tcp::socket socket);
 
     void start();
 
@@ -68,7 +68,7 @@
     void logBroken() const;
     void logEnd(std::string_view outcome, int status, std::string_view reason);
 
-    TrafficFront &m_front;
+    TrafficServer &m_front;
     boost::asio::ip::tcp::socket m_socket;
     std::array<char, 4096> m_buffer {};
     std::string m_in;
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -165,7 +165,7 @@
     asio::io_context m_traffic {1};
     asio::io_context m_controlContext {1};
     std::unique_ptr<EntryProtocol> m_protocol;
-    TrafficFront m_front;
+    TrafficServer m_front;
     Control m_control;
     SimpleHttpServer m_readiness;
     SimpleHttpServer m_metrics;
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TrafficFront::TrafficFront(asio::io_context &context, const EntrySettings &settings,
+TrafficServer::TrafficServer(asio::io_context &context, const EntrySettings &settings,
                            const EntryProtocol &protocol, EntryState &state)
     : m_context(context)
     , m_settings(settings)
@@ -61,9 +61,9 @@
 {
 }
 
-TrafficFront::~TrafficFront() = default;
+TrafficServer::~TrafficServer() = default;
 
-bool TrafficFront::listen(Reason &reason)
+bool TrafficServer::listen(Reason &reason)
 {
     if (!listenAt(m_acceptor, m_settings.callerAddress, reason))
         return false;
@@ -72,7 +72,7 @@
     return true;
 }
 
-void TrafficFront::accept()
+void TrafficServer::accept()
 {
     m_acceptor.async_accept([this](const boost::system::error_code &error, tcp::socket socket) {
         if (error == asio::error::operation_aborted)
@@ -86,7 +86,7 @@
     });
 }
 
-void TrafficFront::armTimer()
+void TrafficServer::armTimer()
 {
     m_timer.expires_after(m_relay.flights() > 0 || m_stopping ? BusyTick : IdleTick);
     m_timer.async_wait([this](const boost::system::error_code &error) {
@@ -95,7 +95,7 @@
     });
 }
 
-void TrafficFront::tick()
+void TrafficServer::tick()
 {
     const Time now = steadyNow();
     RelayActions actions;
@@ -115,12 +115,12 @@
     armTimer();
 }
 
-void TrafficFront::setTable(RouteMapPtr table)
+void TrafficServer::setTable(RouteMapPtr table)
 {
     m_table = std::move(table);
 }
 
-void TrafficFront::setFleet(FleetPtr fleet)
+void TrafficServer::setFleet(FleetPtr fleet)
 {
     m_fleet = fleet;
     RelayActions actions;
@@ -128,14 +128,14 @@
     run(std::move(actions));
 }
 
-void TrafficFront::setInstances(const KnownInstances &known)
+void TrafficServer::setInstances(const KnownInstances &known)
 {
     const Time now = steadyNow();
     m_relay.setInstances(known.inDomain, known.count, now);
     m_relay.shareLimits(known.all, m_settings.name, known.storeClockOffset + (bootNow() - now), now);
 }
 
-void TrafficFront::reload(const EntrySettings &settings)
+void TrafficServer::reload(const EntrySettings &settings)
 {
     m_settings.revocationTime = settings.revocationTime;
     m_settings.gracePeriod = settings.gracePeriod;
@@ -146,53 +146,53 @@
     m_relay.setRetries(relay.retryRatio, relay.retrySlack);
 }
 
-void TrafficFront::applyEngineReports(const EngineReports &reports)
+void TrafficServer::applyEngineReports(const EngineReports &reports)
 {
     RelayActions actions;
     m_relay.applyEngineReports(reports, steadyNow(), actions);
     run(std::move(actions));
 }
 
-bool TrafficFront::keysFresh() const
+bool TrafficServer::keysFresh() const
 {
     return m_state.keyAge(bootNow()) < m_settings.revocationTime - KeyMargin;
 }
 
-bool TrafficFront::ready() const
+bool TrafficServer::ready() const
 {
     const Duration age = m_state.keyAge(bootNow());
     return m_table && m_state.fleetKnown && !m_stopping
            && age < Duration(static_cast<std::int64_t>(m_settings.revocationTime.count() * ReadyShare));
 }
 
-bool TrafficFront::takes(RequestKind kind, Time now) const
+bool TrafficServer::takes(RequestKind kind, Time now) const
 {
     const double share = kind == RequestKind::Stream ? LastStream : LastCall;
     return !m_stopping || now - m_stopAt < graceShare(share);
 }
 
-Duration TrafficFront::graceShare(double share) const
+Duration TrafficServer::graceShare(double share) const
 {
     return Duration(static_cast<std::int64_t>(m_settings.gracePeriod.count() * share));
 }
 
-void TrafficFront::attach(FlightId flight, std::shared_ptr<CallerSession> session)
+void TrafficServer::attach(FlightId flight, std::shared_ptr<CallerSession> session)
 {
     m_flights[flight] = std::move(session);
 }
 
-void TrafficFront::detach(FlightId flight)
+void TrafficServer::detach(FlightId flight)
 {
     m_flights.erase(flight);
 }
 
-void TrafficFront::closed(CallerSession &session)
+void TrafficServer::closed(CallerSession &session)
 {
     m_sessions.erase(session.shared_from_this());
 }
 
 /// Whether the endpoint runs requests of any content, and knows no question for its state.
-bool TrafficFront::isPlain(const std::string &id) const
+bool TrafficServer::isPlain(const std::string &id) const
 {
     const FleetEndpoint *endpoint = m_fleet->find(id);
     if (!endpoint || !m_table)
@@ -201,7 +201,7 @@
     return service && !service->model;
 }
 
-void TrafficFront::connectionChecked(const std::string &endpoint, Time askedAt,
+void TrafficServer::connectionChecked(const std::string &endpoint, Time askedAt,
                                      const CallOutcome &outcome)
 {
     m_questions.erase(endpoint);
@@ -213,7 +213,7 @@
     run(std::move(actions));
 }
 
-void TrafficFront::askEngine(const QueryEngine &ask)
+void TrafficServer::askEngine(const QueryEngine &ask)
 {
     if (m_questions.contains(ask.endpoint))
         return;
@@ -237,7 +237,7 @@
     question->start();
 }
 
-void TrafficFront::engineAnswered(const std::string &endpoint, Time askedAt,
+void TrafficServer::engineAnswered(const std::string &endpoint, Time askedAt,
                                   const CallOutcome &outcome)
 {
     m_questions.erase(endpoint);
@@ -272,7 +272,7 @@
     run(std::move(actions));
 }
 
-void TrafficFront::changePath(const ChangePath &change)
+void TrafficServer::changePath(const ChangePath &change)
 {
     startCall(m_pool, change.endpoint, change.address,
               m_protocol.changePath(change.request, change.path), AnswerWithin,
@@ -289,7 +289,7 @@
               });
 }
 
-void TrafficFront::tellCrashes(const CrashUpdate &news)
+void TrafficServer::tellCrashes(const CrashUpdate &news)
 {
     const auto log = [](std::string_view event, const CrashRecord &record) {
         logDecision("quarantine", event,
@@ -304,7 +304,7 @@
         m_tellCrashes(news);
 }
 
-void TrafficFront::askTrial(const RequestTrial &ask)
+void TrafficServer::askTrial(const RequestTrial &ask)
 {
     if (!m_askTrial)
         return;
@@ -318,7 +318,7 @@
 
 /// The steady clock stands still while the machine is suspended, and a permit would seem
 /// to last.
-void TrafficFront::noteSuspension()
+void TrafficServer::noteSuspension()
 {
     constexpr Duration Noticeable {50'000};
     const Duration suspended = bootNow() - steadyNow();
@@ -327,13 +327,13 @@
     m_suspended = suspended;
 }
 
-bool TrafficFront::maySend(FlightId flight, std::uint32_t attempt)
+bool TrafficServer::maySend(FlightId flight, std::uint32_t attempt)
 {
     noteSuspension();
     return m_relay.maySend(flight, attempt, steadyNow());
 }
 
-void TrafficFront::run(RelayActions actions)
+void TrafficServer::run(RelayActions actions)
 {
     const auto sessionOf = [this](FlightId flight) -> std::shared_ptr<CallerSession> {
         const auto it = m_flights.find(flight);
@@ -370,7 +370,7 @@
     }
 }
 
-void TrafficFront::stop(std::function<void()> stopped)
+void TrafficServer::stop(std::function<void()> stopped)
 {
     if (m_stopping)
         return;
@@ -379,7 +379,7 @@
     m_stopped = std::move(stopped);
 }
 
-void TrafficFront::finishStop()
+void TrafficServer::finishStop()
 {
     const Time now = steadyNow();
     if (now - m_stopAt < graceShare(BalancerNotices))
@@ -395,7 +395,7 @@
     }
 }
 
-std::string TrafficFront::metrics() const
+std::string TrafficServer::metrics() const
 {
     const RelayCounts &counts = m_relay.counts();
     std::string text;
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -19,12 +19,12 @@
 class CallerSession;
 
 /// Serves callers on one thread.
-class TrafficFront
+class TrafficServer
 {
 public:
-    TrafficFront(boost::asio::io_context &context, const EntrySettings &settings,
+    TrafficServer(boost::asio::io_context &context, const EntrySettings &settings,
                  const EntryProtocol &protocol, EntryState &state);
-    ~TrafficFront();
+    ~TrafficServer();
 
     /// \return whether the address could be listened at.
     bool listen(Reason &reason);
