--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -29,16 +29,16 @@
     explicit Entry(EntrySettings settings)
         : m_settings(std::move(settings))
         , m_protocol(makeEntryProtocol())
-        , m_front(m_traffic, m_settings, *m_protocol, m_state)
+        , m_trafficServer(m_traffic, m_settings, *m_protocol, m_state)
         , m_control(m_controlContext, m_settings, *m_protocol, m_state, events())
         , m_readiness(m_traffic,
                       [this](std::string_view, const SimpleHttpServer::Reply &reply) {
-                          reply(m_front.ready() ? HttpAnswer {200, "ready\n"}
+                          reply(m_trafficServer.ready() ? HttpAnswer {200, "ready\n"}
                                                 : HttpAnswer {503, "not ready\n"});
                       })
         , m_metrics(m_traffic,
                     [this](std::string_view, const SimpleHttpServer::Reply &reply) {
-                        reply({200, m_front.metrics()});
+                        reply({200, m_trafficServer.metrics()});
                     })
         , m_signals(m_traffic, SIGTERM, SIGINT, SIGHUP)
     {
@@ -47,7 +47,7 @@
     int run()
     {
         Reason reason;
-        if (!m_front.listen(reason) || !m_readiness.listen(m_settings.readinessAddress, reason)
+        if (!m_trafficServer.listen(reason) || !m_readiness.listen(m_settings.readinessAddress, reason)
             || !m_control.listen(reason)
             || (!m_settings.metrics.empty() && !m_metrics.listen(m_settings.metrics, reason))) {
             logDecision("entry", "cannot start", {{"reason", std::string_view(reason)}});
@@ -57,15 +57,15 @@
         logDecision("entry", "started",
                     {{"callers", std::string_view(m_settings.callerAddress)},
                      {"store", std::string_view(m_settings.store)}});
-        m_front.onSilentEngine([this](std::string id) {
+        m_trafficServer.onSilentEngine([this](std::string id) {
             asio::post(m_controlContext,
                        [this, id = std::move(id)] { m_control.engineSilent(id); });
         });
-        m_front.onCrashes([this](CrashUpdate news) {
+        m_trafficServer.onCrashes([this](CrashUpdate news) {
             asio::post(m_controlContext,
                        [this, news = std::move(news)] { m_control.tellCrashes(news); });
         });
-        m_front.onTrials(
+        m_trafficServer.onTrials(
             [this](TrialRequest request, std::function<void(TrialAnswer)> answered) {
                 askTrial(std::move(request), std::move(answered));
             },
@@ -91,21 +91,21 @@
     {
         ControlEvents events;
         events.table = [this](RouteMapPtr table) {
-            asio::post(m_traffic, [this, table] { m_front.setTable(table); });
+            asio::post(m_traffic, [this, table] { m_trafficServer.setTable(table); });
         };
         events.fleet = [this](FleetPtr fleet) {
-            asio::post(m_traffic, [this, fleet] { m_front.setFleet(fleet); });
+            asio::post(m_traffic, [this, fleet] { m_trafficServer.setFleet(fleet); });
         };
         events.instances = [this](KnownInstances known) {
             asio::post(m_traffic,
-                       [this, known = std::move(known)] { m_front.setInstances(known); });
+                       [this, known = std::move(known)] { m_trafficServer.setInstances(known); });
         };
         events.engines = [this](EngineReports reports) {
             asio::post(m_traffic,
-                       [this, reports = std::move(reports)] { m_front.applyEngineReports(reports); });
+                       [this, reports = std::move(reports)] { m_trafficServer.applyEngineReports(reports); });
         };
         events.crashes = [this](std::vector<CrashRecord> all) {
-            asio::post(m_traffic, [this, all = std::move(all)] { m_front.setSharedCrashes(all); });
+            asio::post(m_traffic, [this, all = std::move(all)] { m_trafficServer.setSharedCrashes(all); });
         };
         return events;
     }
@@ -142,7 +142,7 @@
             return logDecision("entry", "settings not taken",
                                {{"reason", std::string_view(reason)}});
         const std::string restart = flagsNeedingRestart(m_settings, *fresh);
-        m_front.reload(*fresh);
+        m_trafficServer.reload(*fresh);
         logDecision("entry", "reloaded",
                     {{"revocation_ms", fresh->revocationTime.count() / 1000},
                      {"grace_ms", fresh->gracePeriod.count() / 1000},
@@ -157,7 +157,7 @@
             return;
         logDecision("entry", "stopping", {});
         asio::post(m_controlContext, [this] { m_control.stop([] {}); });
-        m_front.stop([this] { m_traffic.stop(); });
+        m_trafficServer.stop([this] { m_traffic.stop(); });
     }
 
     EntrySettings m_settings;
@@ -165,7 +165,7 @@
     asio::io_context m_traffic {1};
     asio::io_context m_controlContext {1};
     std::unique_ptr<EntryProtocol> m_protocol;
-    TrafficServer m_front;
+    TrafficServer m_trafficServer;
     Control m_control;
     SimpleHttpServer m_readiness;
     SimpleHttpServer m_metrics;
