--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -78,7 +78,7 @@
     case FlightOutcome::Truncated:
         // Closed without the last chunk, so that it does not look complete.
         logEnd("cut short", 200, end.reason);
-        m_front.detach(*m_flight);
+        m_server.detach(*m_flight);
         m_flight.reset();
         return close();
     }
@@ -87,7 +87,7 @@
 void CallerSession::writeHead(const MessageHead &head, std::optional<std::size_t> length)
 {
     const std::vector<std::string> connection = connectionOptions(head);
-    m_closeAfter = m_closeAfter || m_front.stopping();
+    m_closeAfter = m_closeAfter || m_server.stopping();
     m_out += "HTTP/1.1 " + std::to_string(head.status) + " " + std::string(statusText(head.status))
              + "\r\n";
     for (const HeaderField &field : head.fields) {
@@ -103,12 +103,12 @@
 
 void CallerSession::refuse(int status, std::string_view reason, std::optional<Duration> retryAfter)
 {
-    m_closeAfter = m_closeAfter || m_front.stopping();
+    m_closeAfter = m_closeAfter || m_server.stopping();
     const std::string body = "{\"error\":{\"message\":\"" + std::string(reason) + "\"}}";
     m_out += "HTTP/1.1 " + std::to_string(status) + " " + std::string(statusText(status))
              + "\r\nContent-Type: application/json\r\n";
     if (!m_requestId.empty())
-        m_out += std::string(m_front.protocol().headers().requestId) + ": " + m_requestId + "\r\n";
+        m_out += std::string(m_server.protocol().headers().requestId) + ": " + m_requestId + "\r\n";
     if (retryAfter) {
         const std::string millis = std::to_string(1000 + milliseconds(*retryAfter) % 1000);
         m_out += "Retry-After: " + std::to_string(retryAfter->count() / 1'000'000) + "."
@@ -124,7 +124,7 @@
 void CallerSession::answered()
 {
     if (m_flight)
-        m_front.detach(*m_flight);
+        m_server.detach(*m_flight);
     m_flight.reset();
     m_request.reset();
     m_answer.reset();
@@ -156,7 +156,7 @@
         return;
     }
     m_writing = true;
-    m_front.callerCalls().writes += 1;
+    m_server.callerCalls().writes += 1;
     m_writingBytes.swap(m_out);
     m_out.clear();
     asio::async_write(
@@ -219,9 +219,9 @@
         ended.firstEvent = first;
     ended.longestGap = m_longestGap;
     ended.late = late;
-    m_front.requestMetrics().ended(ended);
+    m_server.requestMetrics().ended(ended);
     const bool good = outcome == "passed" && status < 400 && !late;
-    if (good && !m_front.settings().logAll)
+    if (good && !m_server.settings().logAll)
         return;
     logDecision("request", "ended",
                 {{"request", std::string_view(m_requestId)},
--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -11,7 +11,7 @@
 
 std::string CallerSession::requestText(const SendRequest &send) const
 {
-    const HeaderNames &names = m_front.protocol().headers();
+    const HeaderNames &names = m_server.protocol().headers();
     std::string text = m_kept;
     const auto add = [&](std::string_view name, std::string_view value) {
         text.append(name).append(": ").append(value).append("\r\n");
@@ -19,7 +19,7 @@
     add(names.deadline, std::to_string(std::max<std::int64_t>(1, milliseconds(send.timeLeft))));
     add(names.expectedEndpoint, send.name);
     if (!send.path.empty())
-        add(names.path, m_front.protocol().pathText(send.path));
+        add(names.path, m_server.protocol().pathText(send.path));
     const auto after = send.afterEvent ? send.afterEvent : m_callerAfter;
     if (after)
         add(names.lastEvent, std::to_string(*after));
@@ -39,14 +39,14 @@
     m_events.reset();
     note(
         "sent to " + send.endpoint + " (" + send.reason + ")"
-        + (send.path.empty() ? std::string() : " along " + m_front.protocol().pathText(send.path)));
+        + (send.path.empty() ? std::string() : " along " + m_server.protocol().pathText(send.path)));
     ExchangeSettings settings;
     settings.endpoint = send.endpoint;
     settings.address = send.address;
     settings.freshConnection = send.freshConnection;
-    settings.requestIdName = m_front.protocol().headers().requestId;
+    settings.requestIdName = m_server.protocol().headers().requestId;
     settings.requestId = m_requestId;
-    m_exchange = std::make_shared<Exchange>(m_front.pool(), std::move(settings), requestText(send));
+    m_exchange = std::make_shared<Exchange>(m_server.pool(), std::move(settings), requestText(send));
     m_exchange->start(*this, steadyNow());
 }
 
@@ -63,20 +63,20 @@
     // A key may have been withdrawn while the request waited for a connection,
     // or while this process stood still.
     const bool keyed = !m_key.empty() && !m_streamBegun;
-    const RouteMapPtr &table = m_front.table();
-    if (keyed && (!m_front.keysFresh() || !table->team(m_key))) {
+    const RouteMapPtr &table = m_server.table();
+    if (keyed && (!m_server.keysFresh() || !table->team(m_key))) {
         RelayActions actions;
         const FlightId flight = *m_flight;
-        m_front.relay().callerGone(flight, now, actions);
-        m_front.run(std::move(actions));
-        m_front.detach(flight);
+        m_server.relay().callerGone(flight, now, actions);
+        m_server.run(std::move(actions));
+        m_server.detach(flight);
         m_flight.reset();
         abandonAttempt();
-        m_front.keysFresh() ? refuse(401, "key withdrawn")
+        m_server.keysFresh() ? refuse(401, "key withdrawn")
                             : refuse(503, "keys too old", Duration(300'000));
         return false;
     }
-    if (m_flight && m_front.maySend(*m_flight, m_attempt))
+    if (m_flight && m_server.maySend(*m_flight, m_attempt))
         return true;
     exchangeFailed(AttemptFailure::NotSent);
     return false;
@@ -92,13 +92,13 @@
     if (!m_flight)
         return;
     RelayActions actions;
-    m_front.relay().attemptFailed(*m_flight, m_attempt, failure, steadyNow(), actions);
-    m_front.run(std::move(actions));
+    m_server.relay().attemptFailed(*m_flight, m_attempt, failure, steadyNow(), actions);
+    m_server.run(std::move(actions));
 }
 
 AnswerHead CallerSession::decisionHead(const MessageHead &head) const
 {
-    const HeaderNames &names = m_front.protocol().headers();
+    const HeaderNames &names = m_server.protocol().headers();
     AnswerHead answer;
     answer.status = head.status;
     answer.notExecuted = head.find(names.notExecuted).has_value();
@@ -116,8 +116,8 @@
     if (!stream || head.status != 200 || !head.provenExecuted || head.notExecuted)
         return false;
     RelayActions actions;
-    const bool pass = m_front.relay().answered(*m_flight, m_attempt, head, steadyNow(), actions);
-    m_front.run(std::move(actions));
+    const bool pass = m_server.relay().answered(*m_flight, m_attempt, head, steadyNow(), actions);
+    m_server.run(std::move(actions));
     if (!pass)
         return false;
     m_events.emplace();
@@ -130,7 +130,7 @@
         return;
     const Time now = steadyNow();
     std::string whole;
-    const auto passed = m_front.relay().lastEvent(*m_flight);
+    const auto passed = m_server.relay().lastEvent(*m_flight);
     const std::size_t count = m_events->add(answer.body(), passed ? passed : m_callerAfter, whole);
     answer.body().clear();
     if (count == 0)
@@ -149,8 +149,8 @@
     m_out.append(size.data(), static_cast<std::size_t>(end - size.data()));
     m_out.append("\r\n").append(whole).append("\r\n");
     RelayActions actions;
-    m_front.relay().eventsPassed(*m_flight, m_attempt, m_events->lastId(), now, actions);
-    m_front.run(std::move(actions));
+    m_server.relay().eventsPassed(*m_flight, m_attempt, m_events->lastId(), now, actions);
+    m_server.run(std::move(actions));
     flush();
 }
 
@@ -164,18 +164,18 @@
     if (m_events) {
         // Complete in form, but in the middle of an event: it was cut.
         if (m_events->partial())
-            m_front.relay().attemptFailed(*m_flight, m_attempt, AttemptFailure::InvalidAnswer, now,
+            m_server.relay().attemptFailed(*m_flight, m_attempt, AttemptFailure::InvalidAnswer, now,
                                           actions);
         else
-            m_front.relay().streamCompleted(*m_flight, m_attempt, now, actions);
-        return m_front.run(std::move(actions));
+            m_server.relay().streamCompleted(*m_flight, m_attempt, now, actions);
+        return m_server.run(std::move(actions));
     }
     m_answer.emplace(std::move(answer));
     const AnswerHead head = decisionHead(m_answer->head());
     note("answered " + std::to_string(head.status) + (head.notExecuted ? ", not run" : "")
          + (head.atAddress.empty() ? std::string() : " at " + std::string(head.atAddress)));
-    m_front.relay().answered(*m_flight, m_attempt, head, now, actions);
-    m_front.run(std::move(actions));
+    m_server.relay().answered(*m_flight, m_attempt, head, now, actions);
+    m_server.run(std::move(actions));
 }
 
 } // namespace balsamloft
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -32,7 +32,7 @@
 } // namespace
 
 CallerSession::CallerSession(TrafficServer &front, asio::ip::tcp::socket socket)
-    : m_front(front)
+    : m_server(front)
     , m_socket(std::move(socket))
 {
 }
@@ -66,7 +66,7 @@
         return close();
     }
     m_lastRead = steadyNow();
-    m_front.callerCalls().reads += 1;
+    m_server.callerCalls().reads += 1;
     m_in.append(m_buffer.data(), count);
     if (!m_flight && !m_writing)
         parse();
@@ -79,7 +79,7 @@
         return;
     if (!m_request) {
         MessageLimits limits;
-        if (const RouteMapPtr &table = m_front.table()) {
+        if (const RouteMapPtr &table = m_server.table()) {
             limits.headerBytes = table->limits().maxHeaderBytes;
             limits.bodyBytes = table->limits().maxBodyBytes;
         }
@@ -121,9 +121,9 @@
     m_routeName.clear();
     m_digest.clear();
     m_closeAfter = m_closeAfter || !m_request->keepAlive();
-    m_requestId = std::string(head.find(m_front.protocol().headers().requestId).value_or(""));
+    m_requestId = std::string(head.find(m_server.protocol().headers().requestId).value_or(""));
     m_body = std::move(m_request->body());
-    m_table = m_front.table();
+    m_table = m_server.table();
     if (!m_table)
         return refuse(503, "no configuration yet", Duration(500'000));
     const std::string_view target = head.target;
@@ -131,7 +131,7 @@
     const Route *route = m_table->match(lowerHost(head.find("Host").value_or("")), path);
     // What this instance knows may be too old to deny anything by.
     if (!route)
-        return m_front.keysFresh() ? refuse(404, "no route")
+        return m_server.keysFresh() ? refuse(404, "no route")
                                    : refuse(503, "configuration too old", Duration(300'000));
     if (!admit(*route, *m_table))
         return;
@@ -147,11 +147,11 @@
     m_routeName = route.name;
     if (route.anonymous || !table.hasTeams())
         return true;
-    if (!m_front.keysFresh()) {
+    if (!m_server.keysFresh()) {
         refuse(503, "keys too old", Duration(300'000));
         return false;
     }
-    m_key = std::string(m_request->head().find(m_front.protocol().headers().key).value_or(""));
+    m_key = std::string(m_request->head().find(m_server.protocol().headers().key).value_or(""));
     const RoutedTeam *team = table.team(m_key);
     if (!team) {
         refuse(401, "unknown key");
@@ -163,10 +163,10 @@
 
 void CallerSession::submit(const RouteMapPtr &table, const Route &route)
 {
-    const HeaderNames &names = m_front.protocol().headers();
+    const HeaderNames &names = m_server.protocol().headers();
     const MessageHead &head = m_request->head();
     const Time now = steadyNow();
-    if (!m_front.takes(route.kind, now))
+    if (!m_server.takes(route.kind, now))
         return refuse(503, "stopping", Duration(100'000));
     RelayRequest request;
     request.id = m_requestId;
@@ -186,9 +186,9 @@
     m_callerAfter = leadingNumber<std::uint64_t>(head.find(names.lastEvent).value_or(""));
     keepHeaders();
     RelayActions actions;
-    m_flight = m_front.relay().submit(std::move(request), now, actions);
-    m_front.attach(*m_flight, shared_from_this());
-    m_front.run(std::move(actions));
+    m_flight = m_server.relay().submit(std::move(request), now, actions);
+    m_server.attach(*m_flight, shared_from_this());
+    m_server.run(std::move(actions));
 }
 
 std::string CallerSession::contentDigest()
@@ -200,7 +200,7 @@
 
 void CallerSession::keepHeaders()
 {
-    const HeaderNames &names = m_front.protocol().headers();
+    const HeaderNames &names = m_server.protocol().headers();
     const MessageHead &head = m_request->head();
     const std::array<std::string_view, 8> own {
         names.key,     names.team,     names.expectedEndpoint, names.path,
@@ -231,13 +231,13 @@
     if (m_flight) {
         RelayActions actions;
         logEnd("caller gone", 0, "the caller closed its connection");
-        m_front.relay().callerGone(*m_flight, steadyNow(), actions);
-        m_front.detach(*m_flight);
+        m_server.relay().callerGone(*m_flight, steadyNow(), actions);
+        m_server.detach(*m_flight);
         m_flight.reset();
     }
     boost::system::error_code ignored;
     m_socket.close(ignored);
-    m_front.closed(*this);
+    m_server.closed(*this);
 }
 
 void CallerSession::closeIfIdle(Time now)
@@ -258,7 +258,7 @@
     }
     if (m_flight || m_writing || m_closed)
         return;
-    const RouteMapPtr &table = m_front.table();
+    const RouteMapPtr &table = m_server.table();
     const RequestLimits limits = table ? table->limits() : RequestLimits {};
     const bool partial = m_request && m_request->begun();
     if (partial && now - m_lastRead >= limits.headerTimeout) {
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -68,7 +68,7 @@
     void logBroken() const;
     void logEnd(std::string_view outcome, int status, std::string_view reason);
 
-    TrafficServer &m_front;
+    TrafficServer &m_server;
     boost::asio::ip::tcp::socket m_socket;
     std::array<char, 4096> m_buffer {};
     std::string m_in;
