--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -166,7 +166,7 @@
     const HeaderNames &names = m_server.protocol().headers();
     const MessageHead &head = m_request->head();
     const Time now = steadyNow();
-    if (!m_server.takes(route.kind, now))
+    if (!m_server.acceptsNew(route.kind, now))
         return refuse(503, "stopping", Duration(100'000));
     RelayRequest request;
     request.id = m_requestId;
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -165,7 +165,7 @@
            && age < Duration(static_cast<std::int64_t>(m_settings.revocationTime.count() * ReadyShare));
 }
 
-bool TrafficServer::takes(RequestKind kind, Time now) const
+bool TrafficServer::acceptsNew(RequestKind kind, Time now) const
 {
     const double share = kind == RequestKind::Stream ? LastStream : LastCall;
     return !m_stopping || now - m_stopAt < graceShare(share);
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -78,7 +78,7 @@
     bool stopping() const { return m_stopping; }
 
     /// Whether a request is still begun: late ones would outlive the process.
-    bool takes(RequestKind kind, Time now) const;
+    bool acceptsNew(RequestKind kind, Time now) const;
 
     /// Whether keys are known recently enough to admit a request with one.
     bool keysFresh() const;
