--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -91,12 +91,12 @@
     RequestMetrics &requestMetrics() { return m_requestMetrics; }
 
     /// Calls that read from and wrote to callers' sockets.
-    struct CallerCalls
+    struct SocketCalls
     {
         std::uint64_t reads = 0;
         std::uint64_t writes = 0;
     };
-    CallerCalls &callerCalls() { return m_callerCalls; }
+    SocketCalls &callerCalls() { return m_callerCalls; }
     std::string metrics() const;
 
 private:
@@ -122,7 +122,7 @@
     boost::asio::ip::tcp::acceptor m_acceptor;
     boost::asio::steady_timer m_timer;
     RequestMetrics m_requestMetrics;
-    CallerCalls m_callerCalls;
+    SocketCalls m_callerCalls;
     ConnectionPool m_pool;
     Relay m_relay;
     RouteMapPtr m_table;
