--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -156,7 +156,7 @@
         return;
     }
     m_writing = true;
-    m_server.callerCalls().writes += 1;
+    m_server.callerSocketCalls().writes += 1;
     m_writingBytes.swap(m_out);
     m_out.clear();
     asio::async_write(
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -66,7 +66,7 @@
         return close();
     }
     m_lastRead = steadyNow();
-    m_server.callerCalls().reads += 1;
+    m_server.callerSocketCalls().reads += 1;
     m_in.append(m_buffer.data(), count);
     if (!m_flight && !m_writing)
         parse();
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -96,7 +96,7 @@
         std::uint64_t reads = 0;
         std::uint64_t writes = 0;
     };
-    SocketCalls &callerCalls() { return m_callerCalls; }
+    SocketCalls &callerSocketCalls() { return m_callerCalls; }
     std::string metrics() const;
 
 private:
