--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -54,8 +54,8 @@
     /// \a ask is called with each try of a suspected request that needs a permit, and
     /// calls its second argument with the answer on this thread; \a end with each that
     /// is over.
-    using TrialAsker = std::function<void(TrialRequest, std::function<void(TrialAnswer)>)>;
-    void onTrials(TrialAsker ask, std::function<void(FinishTrial)> end)
+    using TrialRequester = std::function<void(TrialRequest, std::function<void(TrialAnswer)>)>;
+    void onTrials(TrialRequester ask, std::function<void(FinishTrial)> end)
     {
         m_askTrial = std::move(ask);
         m_endTrial = std::move(end);
@@ -136,7 +136,7 @@
     std::function<void()> m_stopped;
     std::function<void(std::string)> m_engineSilent;
     std::function<void(CrashUpdate)> m_tellCrashes;
-    TrialAsker m_askTrial;
+    TrialRequester m_askTrial;
     std::function<void(FinishTrial)> m_endTrial;
     Duration m_suspended {Duration::max()}; ///< what the steady clock lacks; at first unknown
 };
