--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -64,7 +64,7 @@
     answered();
 }
 
-void CallerSession::endFlight(const FinishFlight &end)
+void CallerSession::finishFlight(const FinishFlight &end)
 {
     const auto self = shared_from_this();
     abandonAttempt();
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -30,7 +30,7 @@
     /// Adds a decision to the request's trail.
     void note(std::string_view text);
     void passAnswer();
-    void endFlight(const FinishFlight &end);
+    void finishFlight(const FinishFlight &end);
 
     /// Looks after connection attempts and idle or slow callers.
     void tick(Time now);
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -365,7 +365,7 @@
                 session->passAnswer();
         } else if (const auto *end = std::get_if<FinishFlight>(&action)) {
             if (const auto session = sessionOf(end->flight))
-                session->endFlight(*end);
+                session->finishFlight(*end);
         }
     }
 }
