--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -51,12 +51,12 @@
     const auto self = shared_from_this();
     if (m_streamBegun) {
         m_out += "0\r\n\r\n";
-        logEnd("passed", 200, "");
+        logOutcome("passed", 200, "");
     } else if (m_answer) {
         writeHead(m_answer->head(), m_answer->body().size());
         if (m_request->head().method != "HEAD")
             m_out += m_answer->body();
-        logEnd("passed", m_answer->head().status, "");
+        logOutcome("passed", m_answer->head().status, "");
     } else {
         // A stream without a single event: whole all the same.
         return refuse(502, "stream without events");
@@ -77,7 +77,7 @@
         return refuse(504, end.reason);
     case FlightOutcome::Truncated:
         // Closed without the last chunk, so that it does not look complete.
-        logEnd("cut short", 200, end.reason);
+        logOutcome("cut short", 200, end.reason);
         m_server.detach(*m_flight);
         m_flight.reset();
         return close();
@@ -117,7 +117,7 @@
     m_out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     m_out += m_closeAfter ? "Connection: close\r\n\r\n" : "\r\n";
     m_out += body;
-    logEnd("refused", status, reason);
+    logOutcome("refused", status, reason);
     answered();
 }
 
@@ -201,7 +201,7 @@
                  {"events", std::int64_t(m_passedEvents - m_eventsBefore)}});
 }
 
-void CallerSession::logEnd(std::string_view outcome, int status, std::string_view reason)
+void CallerSession::logOutcome(std::string_view outcome, int status, std::string_view reason)
 {
     const Time now = steadyNow();
     const Duration first =
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -230,7 +230,7 @@
     abandonAttempt();
     if (m_flight) {
         RelayActions actions;
-        logEnd("caller gone", 0, "the caller closed its connection");
+        logOutcome("caller gone", 0, "the caller closed its connection");
         m_server.relay().callerGone(*m_flight, steadyNow(), actions);
         m_server.detach(*m_flight);
         m_flight.reset();
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -66,7 +66,7 @@
     AnswerHead decisionHead(const MessageHead &head) const;
     std::string contentDigest();
     void logBroken() const;
-    void logEnd(std::string_view outcome, int status, std::string_view reason);
+    void logOutcome(std::string_view outcome, int status, std::string_view reason);
 
     TrafficServer &m_server;
     boost::asio::ip::tcp::socket m_socket;
