--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -191,7 +191,7 @@
 
 /// An engine that ends takes all requests on it along: those that it had under way,
 /// and how far each had come there, tell which one may have ended it.
-void CallerSession::logBroken() const
+void CallerSession::logBrokenAttempt() const
 {
     logDecision("request", "broken off",
                 {{"request", std::string_view(m_requestId)},
--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -87,7 +87,7 @@
     static constexpr std::array<std::string_view, 3> Names {"not sent", "broken off", "bad answer"};
     note(Names[static_cast<std::size_t>(failure)]);
     if (failure != AttemptFailure::NotSent)
-        logBroken();
+        logBrokenAttempt();
     abandonAttempt();
     if (!m_flight)
         return;
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -65,7 +65,7 @@
     void finishedRequest();
     AnswerHead decisionHead(const MessageHead &head) const;
     std::string contentDigest();
-    void logBroken() const;
+    void logBrokenAttempt() const;
     void logOutcome(std::string_view outcome, int status, std::string_view reason);
 
     TrafficServer &m_server;
