--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -184,7 +184,7 @@
     if (const auto hint = leadingNumber<std::uint32_t>(head.find(names.lengthHint).value_or("")))
         request.answerTokens = std::min(request.answerTokens, *hint);
     m_callerAfter = leadingNumber<std::uint64_t>(head.find(names.lastEvent).value_or(""));
-    keepHeaders();
+    buildForwardedHead();
     RelayActions actions;
     m_flight = m_server.relay().submit(std::move(request), now, actions);
     m_server.attach(*m_flight, shared_from_this());
@@ -198,7 +198,7 @@
     return requestDigest({m_teamName, head.method, host, head.target, m_body});
 }
 
-void CallerSession::keepHeaders()
+void CallerSession::buildForwardedHead()
 {
     const HeaderNames &names = m_server.protocol().headers();
     const MessageHead &head = m_request->head();
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -53,7 +53,7 @@
     void handle();
     bool admit(const Route &route, const RouteMap &table);
     void submit(const RouteMapPtr &table, const Route &route);
-    void keepHeaders();
+    void buildForwardedHead();
     std::string requestText(const SendRequest &send) const;
     void refuse(int status, std::string_view reason, std::optional<Duration> retryAfter = {});
     void refuseMalformed();
