--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -12,7 +12,7 @@
 std::string CallerSession::requestText(const SendRequest &send) const
 {
     const HeaderNames &names = m_server.protocol().headers();
-    std::string text = m_kept;
+    std::string text = m_forwardedHead;
     const auto add = [&](std::string_view name, std::string_view value) {
         text.append(name).append(": ").append(value).append("\r\n");
     };
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -210,15 +210,15 @@
         return std::any_of(list.begin(), list.end(),
                            [&](std::string_view each) { return sameFieldName(each, name); });
     };
-    m_kept = head.method + " " + head.target + " HTTP/1.1\r\n";
+    m_forwardedHead = head.method + " " + head.target + " HTTP/1.1\r\n";
     for (const HeaderField &field : head.fields)
         if (!isHopByHopField(field.name) && !listed(own, field.name)
             && !listed(connection, field.name))
-            m_kept += field.name + ": " + field.value + "\r\n";
+            m_forwardedHead += field.name + ": " + field.value + "\r\n";
     if (!m_teamName.empty())
-        m_kept += std::string(names.team) + ": " + m_teamName + "\r\n";
+        m_forwardedHead += std::string(names.team) + ": " + m_teamName + "\r\n";
     if (!m_body.empty() || head.method == "POST" || head.method == "PUT")
-        m_kept += "Content-Length: " + std::to_string(m_body.size()) + "\r\n";
+        m_forwardedHead += "Content-Length: " + std::to_string(m_body.size()) + "\r\n";
 }
 
 void CallerSession::close()
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -82,7 +82,7 @@
     std::string m_routeName;
     RouteMapPtr m_table;
     const Route *m_route = nullptr;
-    std::string m_kept; ///< start line and header fields that go on to endpoints
+    std::string m_forwardedHead; ///< start line and header fields that go on to endpoints
     std::string m_body;
     std::optional<std::uint64_t> m_callerAfter; ///< the caller goes on after this event
     std::shared_ptr<Exchange> m_exchange;
