--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -96,7 +96,7 @@
     m_server.run(std::move(actions));
 }
 
-AnswerHead CallerSession::decisionHead(const MessageHead &head) const
+AnswerHead CallerSession::answerHead(const MessageHead &head) const
 {
     const HeaderNames &names = m_server.protocol().headers();
     AnswerHead answer;
@@ -111,7 +111,7 @@
 
 bool CallerSession::headReceived(MessageReader &answer)
 {
-    const AnswerHead head = decisionHead(answer.head());
+    const AnswerHead head = answerHead(answer.head());
     const bool stream = m_route->kind == RequestKind::Stream;
     if (!stream || head.status != 200 || !head.provenExecuted || head.notExecuted)
         return false;
@@ -171,7 +171,7 @@
         return m_server.run(std::move(actions));
     }
     m_answer.emplace(std::move(answer));
-    const AnswerHead head = decisionHead(m_answer->head());
+    const AnswerHead head = answerHead(m_answer->head());
     note("answered " + std::to_string(head.status) + (head.notExecuted ? ", not run" : "")
          + (head.atAddress.empty() ? std::string() : " at " + std::string(head.atAddress)));
     m_server.relay().answered(*m_flight, m_attempt, head, now, actions);
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -63,7 +63,7 @@
     void flush();
     void answered();
     void finishedRequest();
-    AnswerHead decisionHead(const MessageHead &head) const;
+    AnswerHead answerHead(const MessageHead &head) const;
     std::string contentDigest();
     void logBrokenAttempt() const;
     void logOutcome(std::string_view outcome, int status, std::string_view reason);
