--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -165,11 +165,11 @@
             self->m_writing = false;
             if (error)
                 return self->close();
-            self->finishedRequest();
+            self->continueReading();
         });
 }
 
-void CallerSession::finishedRequest()
+void CallerSession::continueReading()
 {
     flush();
     if (m_closed || m_writing || m_flight)
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -62,7 +62,7 @@
     void write(std::string_view bytes);
     void flush();
     void answered();
-    void finishedRequest();
+    void continueReading();
     AnswerHead answerHead(const MessageHead &head) const;
     std::string contentDigest();
     void logBrokenAttempt() const;
