--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -54,7 +54,7 @@
     void engineSilent(const std::string &id);
 
     /// The traffic thread saw endpoints end under requests, or was mistaken in that.
-    void tellCrashes(const CrashUpdate &news);
+    void publishCrashes(const CrashUpdate &news);
 
     /// Asks the store for the permit to try a request; \a answered is always called.
     void askTrial(const TrialRequest &request, std::function<void(TrialAnswer)> answered);
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -65,7 +65,7 @@
 
 } // namespace
 
-void Control::tellCrashes(const CrashUpdate &news)
+void Control::publishCrashes(const CrashUpdate &news)
 {
     if (!m_storeOffset) {
         m_crashesToTell.added.insert(m_crashesToTell.added.end(), news.added.begin(),
@@ -91,7 +91,7 @@
 void Control::writeCrashes(Time now)
 {
     if (m_storeOffset && !m_crashesToTell.empty())
-        tellCrashes(std::exchange(m_crashesToTell, {}));
+        publishCrashes(std::exchange(m_crashesToTell, {}));
     if (m_crashWrites.empty() || m_writingCrashes || now < m_crashPauseUntil)
         return;
     Transaction transaction;
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -63,7 +63,7 @@
         });
         m_trafficServer.onCrashes([this](CrashUpdate news) {
             asio::post(m_controlContext,
-                       [this, news = std::move(news)] { m_control.tellCrashes(news); });
+                       [this, news = std::move(news)] { m_control.publishCrashes(news); });
         });
         m_trafficServer.onTrials(
             [this](TrialRequest request, std::function<void(TrialAnswer)> answered) {
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -289,7 +289,7 @@
               });
 }
 
-void TrafficServer::tellCrashes(const CrashUpdate &news)
+void TrafficServer::publishCrashes(const CrashUpdate &news)
 {
     const auto log = [](std::string_view event, const CrashRecord &record) {
         logDecision("quarantine", event,
@@ -348,7 +348,7 @@
                               + m_protocol.pathText(change->path));
             changePath(*change);
         } else if (const auto *told = std::get_if<PublishCrashes>(&action)) {
-            tellCrashes(told->news);
+            publishCrashes(told->news);
         } else if (const auto *trial = std::get_if<RequestTrial>(&action)) {
             askTrial(*trial);
         } else if (const auto *ended = std::get_if<FinishTrial>(&action)) {
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -109,7 +109,7 @@
 
     void engineAnswered(const std::string &endpoint, Time askedAt, const CallOutcome &outcome);
     void changePath(const ChangePath &change);
-    void tellCrashes(const CrashUpdate &news);
+    void publishCrashes(const CrashUpdate &news);
     void askTrial(const RequestTrial &ask);
     void noteSuspension();
     void finishStop();
