--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -300,8 +300,8 @@
         log("endpoint ended", each);
     for (const CrashRecord &each : news.removed)
         log("taken back", each);
-    if (m_tellCrashes)
-        m_tellCrashes(news);
+    if (m_publishCrashes)
+        m_publishCrashes(news);
 }
 
 void TrafficServer::askTrial(const RequestTrial &ask)
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -49,7 +49,7 @@
 
     /// \a tell is called with what other instances have to know of endpoints that
     /// ended under requests.
-    void onCrashes(std::function<void(CrashUpdate)> tell) { m_tellCrashes = std::move(tell); }
+    void onCrashes(std::function<void(CrashUpdate)> tell) { m_publishCrashes = std::move(tell); }
 
     /// \a ask is called with each try of a suspected request that needs a permit, and
     /// calls its second argument with the answer on this thread; \a end with each that
@@ -135,7 +135,7 @@
     Time m_prunedAt {};
     std::function<void()> m_stopped;
     std::function<void(std::string)> m_engineSilent;
-    std::function<void(CrashUpdate)> m_tellCrashes;
+    std::function<void(CrashUpdate)> m_publishCrashes;
     TrialRequester m_askTrial;
     std::function<void(FinishTrial)> m_endTrial;
     Duration m_suspended {Duration::max()}; ///< what the steady clock lacks; at first unknown
