--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -57,7 +57,7 @@
     void publishCrashes(const CrashUpdate &news);
 
     /// Asks the store for the permit to try a request; \a answered is always called.
-    void askTrial(const TrialRequest &request, std::function<void(TrialAnswer)> answered);
+    void requestTrial(const TrialRequest &request, std::function<void(TrialAnswer)> answered);
 
     /// A try that was permitted is over.
     void endTrial(const FinishTrial &ended);
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -159,7 +159,7 @@
     return bootNow() + m_storeOffset.value_or(Duration {});
 }
 
-void Control::askTrial(const TrialRequest &request, std::function<void(TrialAnswer)> answered)
+void Control::requestTrial(const TrialRequest &request, std::function<void(TrialAnswer)> answered)
 {
     constexpr Duration WithoutStore {2'000'000};
     if (!m_storeOffset || !m_directory.storeUsable(steadyNow()))
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -67,7 +67,7 @@
         });
         m_trafficServer.onTrials(
             [this](TrialRequest request, std::function<void(TrialAnswer)> answered) {
-                askTrial(std::move(request), std::move(answered));
+                requestTrial(std::move(request), std::move(answered));
             },
             [this](FinishTrial ended) {
                 asio::post(m_controlContext,
@@ -111,13 +111,13 @@
     }
 
     /// \a answered is called on the traffic thread.
-    void askTrial(TrialRequest request, std::function<void(TrialAnswer)> answered)
+    void requestTrial(TrialRequest request, std::function<void(TrialAnswer)> answered)
     {
         const auto back = [this, answered = std::move(answered)](const TrialAnswer &answer) {
             asio::post(m_traffic, [answered, answer] { answered(answer); });
         };
         asio::post(m_controlContext, [this, request = std::move(request), back] {
-            m_control.askTrial(request, back);
+            m_control.requestTrial(request, back);
         });
     }
 
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -304,7 +304,7 @@
         m_publishCrashes(news);
 }
 
-void TrafficServer::askTrial(const RequestTrial &ask)
+void TrafficServer::requestTrial(const RequestTrial &ask)
 {
     if (!m_askTrial)
         return;
@@ -350,7 +350,7 @@
         } else if (const auto *told = std::get_if<PublishCrashes>(&action)) {
             publishCrashes(told->news);
         } else if (const auto *trial = std::get_if<RequestTrial>(&action)) {
-            askTrial(*trial);
+            requestTrial(*trial);
         } else if (const auto *ended = std::get_if<FinishTrial>(&action)) {
             if (m_endTrial)
                 m_endTrial(*ended);
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -110,7 +110,7 @@
     void engineAnswered(const std::string &endpoint, Time askedAt, const CallOutcome &outcome);
     void changePath(const ChangePath &change);
     void publishCrashes(const CrashUpdate &news);
-    void askTrial(const RequestTrial &ask);
+    void requestTrial(const RequestTrial &ask);
     void noteSuspension();
     void finishStop();
     Duration graceShare(double share) const;
