--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -306,9 +306,9 @@
 
 void TrafficServer::requestTrial(const RequestTrial &ask)
 {
-    if (!m_askTrial)
+    if (!m_requestTrial)
         return;
-    m_askTrial(ask.request, [this, ask](const TrialAnswer &answer) {
+    m_requestTrial(ask.request, [this, ask](const TrialAnswer &answer) {
         noteSuspension();
         RelayActions actions;
         m_relay.trialAnswered(ask.flight, ask.request, answer, steadyNow(), actions);
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -57,7 +57,7 @@
     using TrialRequester = std::function<void(TrialRequest, std::function<void(TrialAnswer)>)>;
     void onTrials(TrialRequester ask, std::function<void(FinishTrial)> end)
     {
-        m_askTrial = std::move(ask);
+        m_requestTrial = std::move(ask);
         m_endTrial = std::move(end);
     }
 
@@ -136,7 +136,7 @@
     std::function<void()> m_stopped;
     std::function<void(std::string)> m_engineSilent;
     std::function<void(CrashUpdate)> m_publishCrashes;
-    TrialRequester m_askTrial;
+    TrialRequester m_requestTrial;
     std::function<void(FinishTrial)> m_endTrial;
     Duration m_suspended {Duration::max()}; ///< what the steady clock lacks; at first unknown
 };
