--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -60,7 +60,7 @@
     void requestTrial(const TrialRequest &request, std::function<void(TrialAnswer)> answered);
 
     /// A try that was permitted is over.
-    void endTrial(const FinishTrial &ended);
+    void finishTrial(const FinishTrial &ended);
 
     /// Gives the lease back and leaves the list of instances, then calls \a done.
     void stop(std::function<void()> done);
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -207,7 +207,7 @@
                         });
 }
 
-void Control::endTrial(const FinishTrial &ended)
+void Control::finishTrial(const FinishTrial &ended)
 {
     const auto change = m_trials.release(ended.digest, ended.end);
     if (!change)
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -71,7 +71,7 @@
             },
             [this](FinishTrial ended) {
                 asio::post(m_controlContext,
-                           [this, ended = std::move(ended)] { m_control.endTrial(ended); });
+                           [this, ended = std::move(ended)] { m_control.finishTrial(ended); });
             });
         waitForSignal();
         std::thread control([this] {
