--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -352,8 +352,8 @@
         } else if (const auto *trial = std::get_if<RequestTrial>(&action)) {
             requestTrial(*trial);
         } else if (const auto *ended = std::get_if<FinishTrial>(&action)) {
-            if (m_endTrial)
-                m_endTrial(*ended);
+            if (m_finishTrial)
+                m_finishTrial(*ended);
         } else if (const auto *send = std::get_if<SendRequest>(&action)) {
             if (const auto session = sessionOf(send->flight))
                 session->sendAttempt(*send);
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -58,7 +58,7 @@
     void onTrials(TrialRequester ask, std::function<void(FinishTrial)> end)
     {
         m_requestTrial = std::move(ask);
-        m_endTrial = std::move(end);
+        m_finishTrial = std::move(end);
     }
 
     /// Whether an attempt's bytes may leave now.
@@ -137,7 +137,7 @@
     std::function<void(std::string)> m_engineSilent;
     std::function<void(CrashUpdate)> m_publishCrashes;
     TrialRequester m_requestTrial;
-    std::function<void(FinishTrial)> m_endTrial;
+    std::function<void(FinishTrial)> m_finishTrial;
     Duration m_suspended {Duration::max()}; ///< what the steady clock lacks; at first unknown
 };
 
