--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -166,7 +166,7 @@
     std::map<std::string, std::optional<std::pair<std::string, std::string>>> m_gaps;
     std::map<std::string, std::uint64_t, std::less<>> m_leftOut; ///< rows' versions, by key
     TrialPermits m_trials;
-    CrashUpdate m_crashesToTell; ///< until the store's clock is known
+    CrashUpdate m_unpublishedCrashes; ///< until the store's clock is known
     /// What the store has not taken yet, by row; nothing: the row is dropped.
     std::map<std::string, std::optional<std::string>> m_crashWrites;
     bool m_writingCrashes = false;
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -68,7 +68,7 @@
 void Control::publishCrashes(const CrashUpdate &news)
 {
     if (!m_storeOffset) {
-        m_crashesToTell.added.insert(m_crashesToTell.added.end(), news.added.begin(),
+        m_unpublishedCrashes.added.insert(m_unpublishedCrashes.added.end(), news.added.begin(),
                                      news.added.end());
         return;
     }
@@ -90,8 +90,8 @@
 /// successors must know.
 void Control::writeCrashes(Time now)
 {
-    if (m_storeOffset && !m_crashesToTell.empty())
-        publishCrashes(std::exchange(m_crashesToTell, {}));
+    if (m_storeOffset && !m_unpublishedCrashes.empty())
+        publishCrashes(std::exchange(m_unpublishedCrashes, {}));
     if (m_crashWrites.empty() || m_writingCrashes || now < m_crashPauseUntil)
         return;
     Transaction transaction;
