--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -198,7 +198,7 @@
 }
 
 /// The first reader of a domain does what only one need do there.
-bool Control::leadsDomain() const
+bool Control::isDomainReader() const
 {
     return m_directory.first(steadyNow());
 }
@@ -412,7 +412,7 @@
     LeaseActions actions;
     // Only those who read from the store contend: the others would add calls.
     if (!m_stopping
-        && (m_lease.holds(now) || (leadsDomain() && m_directory.storeUsable(steadyNow()))))
+        && (m_lease.holds(now) || (isDomainReader() && m_directory.storeUsable(steadyNow()))))
         m_lease.tick(now, actions);
     leaseActions(std::move(actions));
     if (!m_stopping && m_storeOffset && now - m_writtenAt >= WriteEvery)
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -83,7 +83,7 @@
     SourceChoice source(SharedTable table);
     void sourceFailed(const TableSource &source, bool answered);
     void heard(SharedTable table, const TableSource &source, const TableAnswer &answer);
-    bool leadsDomain() const;
+    bool isDomainReader() const;
     void leftOut(const StoreRow &row, const Reason &reason);
     void configurationRows(const std::vector<StoreRow> &rows);
     void endpointRows(const std::vector<StoreRow> &rows, bool whole, Time knownAt);
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -20,7 +20,7 @@
 /// One instance of each domain asks the engines there, and tells the others.
 void Control::askEngines(Time now)
 {
-    if (!leadsDomain() || !m_table)
+    if (!isDomainReader() || !m_table)
         return;
     if (now - m_otherDomainsAskedAt >= AskOtherDomainsEvery) {
         m_otherDomainsAskedAt = now;
@@ -72,7 +72,7 @@
 {
     const FleetEndpoint *engine = m_fleetNow->find(id);
     const auto asked = m_asked.find(id);
-    if (!engine || asked == m_asked.end() || engine->domain != m_settings.domain || !leadsDomain()
+    if (!engine || asked == m_asked.end() || engine->domain != m_settings.domain || !isDomainReader()
         || asked->second.misses >= MissesToSilence)
         return;
     asked->second.misses = MissesToSilence - 1;
@@ -215,7 +215,7 @@
 /// The reader of the domain fills its gaps, with the lease or without it.
 void Control::fillGaps(Time now)
 {
-    if (m_stopping || !m_table || !m_fleet.known() || !leadsDomain())
+    if (m_stopping || !m_table || !m_fleet.known() || !isDomainReader())
         return;
     const auto silent = silentEngines();
     if (!silent)
