--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -155,7 +155,7 @@
     tick();
 }
 
-void Control::followTheRest()
+void Control::followRemainingTables()
 {
     if (std::exchange(m_followsAll, true))
         return;
@@ -258,7 +258,7 @@
     }
     if (table == SharedTable::Instances) {
         countInstances();
-        followTheRest();
+        followRemainingTables();
     }
     m_server.changed(table);
 }
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -93,7 +93,7 @@
     void logCoverage();
     void logLeaving(const FleetSnapshot &before, const FleetSnapshot &after);
     void tick();
-    void followTheRest();
+    void followRemainingTables();
     void logStoreCalls(Time now);
     void leaseActions(LeaseActions actions);
     void readLease(std::uint64_t id);
