--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -253,7 +253,7 @@
         m_state.keysKnownAt = state.knownAt.time_since_epoch().count();
     if (table == SharedTable::Endpoints) {
         m_fleet.heard(now - age);
-        tellFleet();
+        publishFleet();
         reportsArrived(answer.engines);
     }
     if (table == SharedTable::Instances) {
@@ -345,7 +345,7 @@
                  {"reason", std::string_view(reason)}});
 }
 
-void Control::tellFleet()
+void Control::publishFleet()
 {
     m_state.fleetKnown = m_fleet.known();
     if (!m_fleet.dirty())
@@ -408,7 +408,7 @@
 {
     const Time now = bootNow();
     m_fleet.tick(steadyNow());
-    tellFleet();
+    publishFleet();
     LeaseActions actions;
     // Only those who read from the store contend: the others would add calls.
     if (!m_stopping
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -89,7 +89,7 @@
     void endpointRows(const std::vector<StoreRow> &rows, bool whole, Time knownAt);
     void endpointRow(const StoreRow &row, Time knownAt);
     std::optional<FleetEndpoint> endpointOf(const StoreRow &row);
-    void tellFleet();
+    void publishFleet();
     void logCoverage();
     void logLeaving(const FleetSnapshot &before, const FleetSnapshot &after);
     void tick();
