--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -428,7 +428,7 @@
     fillGaps(steadyNow());
     writeCrashes(steadyNow());
     askEngines(steadyNow());
-    tellEngines();
+    publishEngineStates();
     m_timer.expires_after(TickEvery);
     m_timer.async_wait([this](const boost::system::error_code &error) {
         if (!error)
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -110,7 +110,7 @@
     double roomOf(const FleetEndpoint &engine) const;
     void askEngine(const FleetEndpoint &engine);
     void engineAnswered(const std::string &id, const CallOutcome &outcome);
-    void tellEngines();
+    void publishEngineStates();
     void elsewhereReported(const EngineReports &reports);
     void reportsArrived(const EngineReports &reports);
     void askOtherDomains(Time now);
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -139,7 +139,7 @@
 
 /// Each engine is told anew only when it would be chosen otherwise: at a thousand engines
 /// a domain, all states told to all instances take more than their links carry.
-void Control::tellEngines()
+void Control::publishEngineStates()
 {
     EngineReports reports = std::exchange(m_elsewhere, {});
     if (std::exchange(m_askedDirty, false)) {
