--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -427,7 +427,7 @@
     logStoreCalls(now);
     fillGaps(steadyNow());
     writeCrashes(steadyNow());
-    askEngines(steadyNow());
+    pollEngines(steadyNow());
     publishEngineStates();
     m_timer.expires_after(TickEvery);
     m_timer.async_wait([this](const boost::system::error_code &error) {
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -105,7 +105,7 @@
     void crashRows();
     void writeTrial(const TrialChange &change, std::function<void(bool done)> written);
     Time storeNow() const;
-    void askEngines(Time now);
+    void pollEngines(Time now);
     bool dueToAsk(const FleetEndpoint &engine, Time now) const;
     double roomOf(const FleetEndpoint &engine) const;
     void askEngine(const FleetEndpoint &engine);
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 /// One instance of each domain asks the engines there, and tells the others.
-void Control::askEngines(Time now)
+void Control::pollEngines(Time now)
 {
     if (!isDomainReader() || !m_table)
         return;
