--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -108,7 +108,7 @@
     void pollEngines(Time now);
     bool dueToAsk(const FleetEndpoint &engine, Time now) const;
     double roomOf(const FleetEndpoint &engine) const;
-    void askEngine(const FleetEndpoint &engine);
+    void queryEngine(const FleetEndpoint &engine);
     void engineAnswered(const std::string &id, const CallOutcome &outcome);
     void publishEngineStates();
     void elsewhereReported(const EngineReports &reports);
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -30,7 +30,7 @@
     for (const FleetEndpoint &each : m_fleetNow->endpoints)
         if (each.domain == m_settings.domain && each.layers.end > each.layers.begin
             && dueToAsk(each, now))
-            askEngine(each);
+            queryEngine(each);
 }
 
 /// KV memory that the engine's layers leave to requests.
@@ -58,7 +58,7 @@
     return now - asked.askedAt >= pause;
 }
 
-void Control::askEngine(const FleetEndpoint &engine)
+void Control::queryEngine(const FleetEndpoint &engine)
 {
     AskedEngine &asked = m_asked[engine.id];
     asked.asking = true;
@@ -76,7 +76,7 @@
         || asked->second.misses >= MissesToSilence)
         return;
     asked->second.misses = MissesToSilence - 1;
-    askEngine(*engine);
+    queryEngine(*engine);
 }
 
 void Control::engineAnswered(const std::string &id, const CallOutcome &outcome)
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -213,7 +213,7 @@
     run(std::move(actions));
 }
 
-void TrafficServer::askEngine(const QueryEngine &ask)
+void TrafficServer::queryEngine(const QueryEngine &ask)
 {
     if (m_questions.contains(ask.endpoint))
         return;
@@ -341,7 +341,7 @@
     };
     for (const RelayAction &action : actions) {
         if (const auto *ask = std::get_if<QueryEngine>(&action)) {
-            askEngine(*ask);
+            queryEngine(*ask);
         } else if (const auto *change = std::get_if<ChangePath>(&action)) {
             if (const auto session = sessionOf(change->flight))
                 session->note("told " + change->endpoint + " (" + change->reason + ") to go along "
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -105,7 +105,7 @@
     void armTimer();
     bool isPlain(const std::string &id) const;
     void connectionChecked(const std::string &endpoint, Time askedAt, const CallOutcome &outcome);
-    void askEngine(const QueryEngine &ask);
+    void queryEngine(const QueryEngine &ask);
 
     void engineAnswered(const std::string &endpoint, Time askedAt, const CallOutcome &outcome);
     void changePath(const ChangePath &change);
