--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -106,7 +106,7 @@
     void writeTrial(const TrialChange &change, std::function<void(bool done)> written);
     Time storeNow() const;
     void pollEngines(Time now);
-    bool dueToAsk(const FleetEndpoint &engine, Time now) const;
+    bool isPollDue(const FleetEndpoint &engine, Time now) const;
     double roomOf(const FleetEndpoint &engine) const;
     void queryEngine(const FleetEndpoint &engine);
     void engineAnswered(const std::string &id, const CallOutcome &outcome);
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -29,7 +29,7 @@
     std::erase_if(m_asked, [&](const auto &each) { return !m_fleetNow->find(each.first); });
     for (const FleetEndpoint &each : m_fleetNow->endpoints)
         if (each.domain == m_settings.domain && each.layers.end > each.layers.begin
-            && dueToAsk(each, now))
+            && isPollDue(each, now))
             queryEngine(each);
 }
 
@@ -43,7 +43,7 @@
     return kind ? service->model->room(*kind, engine.layers.length()) : 0;
 }
 
-bool Control::dueToAsk(const FleetEndpoint &engine, Time now) const
+bool Control::isPollDue(const FleetEndpoint &engine, Time now) const
 {
     const auto it = m_asked.find(engine.id);
     if (it == m_asked.end())
