--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -107,7 +107,7 @@
     Time storeNow() const;
     void pollEngines(Time now);
     bool isPollDue(const FleetEndpoint &engine, Time now) const;
-    double roomOf(const FleetEndpoint &engine) const;
+    double kvCapacity(const FleetEndpoint &engine) const;
     void queryEngine(const FleetEndpoint &engine);
     void engineAnswered(const std::string &id, const CallOutcome &outcome);
     void publishEngineStates();
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -34,7 +34,7 @@
 }
 
 /// KV memory that the engine's layers leave to requests.
-double Control::roomOf(const FleetEndpoint &engine) const
+double Control::kvCapacity(const FleetEndpoint &engine) const
 {
     const RoutedService *service = m_table->serviceNamed(engine.service);
     if (!service || !service->model)
@@ -54,7 +54,7 @@
     // One that did not answer is not pressed: misses at a usual pace prove its silence.
     const Duration pause =
         asked.misses > 0 ? AskSilentEvery
-                         : pollInterval({asked.state.used, asked.usedBefore, roomOf(engine)});
+                         : pollInterval({asked.state.used, asked.usedBefore, kvCapacity(engine)});
     return now - asked.askedAt >= pause;
 }
 
@@ -149,7 +149,7 @@
             EngineState now = asked.state;
             now.silent = silent && silent->contains(id);
             const EngineState *told = m_server.told(id);
-            if (!engine || (told && !differsNoticeably(*told, now, roomOf(*engine))))
+            if (!engine || (told && !differsNoticeably(*told, now, kvCapacity(*engine))))
                 continue;
             reports.changed.push_back(std::move(now));
         }
