--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -48,7 +48,7 @@
     const auto it = m_asked.find(engine.id);
     if (it == m_asked.end())
         return true;
-    const AskedEngine &asked = it->second;
+    const PolledEngine &asked = it->second;
     if (asked.asking)
         return false;
     // One that did not answer is not pressed: misses at a usual pace prove its silence.
@@ -60,7 +60,7 @@
 
 void Control::queryEngine(const FleetEndpoint &engine)
 {
-    AskedEngine &asked = m_asked[engine.id];
+    PolledEngine &asked = m_asked[engine.id];
     asked.asking = true;
     asked.askedAt = steadyNow();
     engineCall(engine.id, engine.address, {"GET", std::string(m_protocol.reportTarget()), {}},
@@ -89,7 +89,7 @@
     // Another process answers under the same name: the listed one is gone.
     const bool replaced = report && report->isFromOtherProcess(*listed);
     const bool answered = outcome.status == 200 && report && !replaced;
-    AskedEngine &asked = m_asked[id];
+    PolledEngine &asked = m_asked[id];
     asked.asking = false;
     asked.misses = replaced ? MissesToSilence : outcome.status == 0 ? asked.misses + 1 : 0;
     if (asked.misses == MissesToSilence)
