--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -135,7 +135,7 @@
     std::array<std::unique_ptr<StoreSource>, SharedTableCount> m_storeSources;
     std::array<std::map<std::string, std::unique_ptr<PeerSource>>, SharedTableCount> m_peerSources;
     std::array<std::unique_ptr<TableFollower>, SharedTableCount> m_followers;
-    std::map<std::string, PolledEngine> m_asked; ///< by id
+    std::map<std::string, PolledEngine> m_polled; ///< by id
     bool m_askedDirty = false;
     /// When another instance of the domain's tree told states of engines last.
     std::shared_ptr<Time> m_reportsAt = std::make_shared<Time>();
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -26,7 +26,7 @@
         m_otherDomainsAskedAt = now;
         askOtherDomains(now);
     }
-    std::erase_if(m_asked, [&](const auto &each) { return !m_fleetNow->find(each.first); });
+    std::erase_if(m_polled, [&](const auto &each) { return !m_fleetNow->find(each.first); });
     for (const FleetEndpoint &each : m_fleetNow->endpoints)
         if (each.domain == m_settings.domain && each.layers.end > each.layers.begin
             && isPollDue(each, now))
@@ -45,8 +45,8 @@
 
 bool Control::isPollDue(const FleetEndpoint &engine, Time now) const
 {
-    const auto it = m_asked.find(engine.id);
-    if (it == m_asked.end())
+    const auto it = m_polled.find(engine.id);
+    if (it == m_polled.end())
         return true;
     const PolledEngine &asked = it->second;
     if (asked.asking)
@@ -60,7 +60,7 @@
 
 void Control::queryEngine(const FleetEndpoint &engine)
 {
-    PolledEngine &asked = m_asked[engine.id];
+    PolledEngine &asked = m_polled[engine.id];
     asked.asking = true;
     asked.askedAt = steadyNow();
     engineCall(engine.id, engine.address, {"GET", std::string(m_protocol.reportTarget()), {}},
@@ -71,8 +71,8 @@
 void Control::engineSilent(const std::string &id)
 {
     const FleetEndpoint *engine = m_fleetNow->find(id);
-    const auto asked = m_asked.find(id);
-    if (!engine || asked == m_asked.end() || engine->domain != m_settings.domain || !isDomainReader()
+    const auto asked = m_polled.find(id);
+    if (!engine || asked == m_polled.end() || engine->domain != m_settings.domain || !isDomainReader()
         || asked->second.misses >= MissesToSilence)
         return;
     asked->second.misses = MissesToSilence - 1;
@@ -89,7 +89,7 @@
     // Another process answers under the same name: the listed one is gone.
     const bool replaced = report && report->isFromOtherProcess(*listed);
     const bool answered = outcome.status == 200 && report && !replaced;
-    PolledEngine &asked = m_asked[id];
+    PolledEngine &asked = m_polled[id];
     asked.asking = false;
     asked.misses = replaced ? MissesToSilence : outcome.status == 0 ? asked.misses + 1 : 0;
     if (asked.misses == MissesToSilence)
@@ -144,7 +144,7 @@
     EngineReports reports = std::exchange(m_elsewhere, {});
     if (std::exchange(m_askedDirty, false)) {
         const auto silent = silentEngines();
-        for (const auto &[id, asked] : m_asked) {
+        for (const auto &[id, asked] : m_polled) {
             const FleetEndpoint *engine = m_fleetNow->find(id);
             EngineState now = asked.state;
             now.silent = silent && silent->contains(id);
@@ -185,10 +185,10 @@
 std::optional<std::set<std::string>> Control::silentEngines() const
 {
     std::set<std::string> silent;
-    for (const auto &[id, asked] : m_asked)
+    for (const auto &[id, asked] : m_polled)
         if (asked.misses >= MissesToSilence)
             silent.insert(id);
-    if (silent.size() * 2 > m_asked.size())
+    if (silent.size() * 2 > m_polled.size())
         return std::nullopt;
     return silent;
 }
@@ -203,8 +203,8 @@
         if (each.domain != m_settings.domain)
             continue;
         FleetEndpoint &own = fleet.endpoints.emplace_back(each);
-        const auto asked = m_asked.find(each.id);
-        if (asked == m_asked.end() || now - asked->second.answeredAt > Young)
+        const auto asked = m_polled.find(each.id);
+        if (asked == m_polled.end() || now - asked->second.answeredAt > Young)
             continue;
         own.layers = asked->second.layers;
         own.busy = asked->second.busy;
