--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -136,7 +136,7 @@
     std::array<std::map<std::string, std::unique_ptr<PeerSource>>, SharedTableCount> m_peerSources;
     std::array<std::unique_ptr<TableFollower>, SharedTableCount> m_followers;
     std::map<std::string, PolledEngine> m_polled; ///< by id
-    bool m_askedDirty = false;
+    bool m_polledDirty = false;
     /// When another instance of the domain's tree told states of engines last.
     std::shared_ptr<Time> m_reportsAt = std::make_shared<Time>();
     EngineReports m_elsewhere; ///< of other domains, not yet told on
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -106,7 +106,7 @@
         asked.busy = report->busy;
         asked.answeredAt = asked.state.at;
     }
-    m_askedDirty = true;
+    m_polledDirty = true;
 }
 
 /// The readers of the other domains know their engines; one question a second
@@ -142,7 +142,7 @@
 void Control::publishEngineStates()
 {
     EngineReports reports = std::exchange(m_elsewhere, {});
-    if (std::exchange(m_askedDirty, false)) {
+    if (std::exchange(m_polledDirty, false)) {
         const auto silent = silentEngines();
         for (const auto &[id, asked] : m_polled) {
             const FleetEndpoint *engine = m_fleetNow->find(id);
