--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -113,7 +113,7 @@
     void publishEngineStates();
     void elsewhereReported(const EngineReports &reports);
     void reportsArrived(const EngineReports &reports);
-    void askOtherDomains(Time now);
+    void queryOtherDomains(Time now);
     void place(Time now);
     void fillGaps(Time now);
     FleetSnapshot ownDomainNow(Time now) const;
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -24,7 +24,7 @@
         return;
     if (now - m_otherDomainsAskedAt >= AskOtherDomainsEvery) {
         m_otherDomainsAskedAt = now;
-        askOtherDomains(now);
+        queryOtherDomains(now);
     }
     std::erase_if(m_polled, [&](const auto &each) { return !m_fleetNow->find(each.first); });
     for (const FleetEndpoint &each : m_fleetNow->endpoints)
@@ -111,7 +111,7 @@
 
 /// The readers of the other domains know their engines; one question a second
 /// to each keeps paths there from being chosen blindly by everybody at once.
-void Control::askOtherDomains(Time now)
+void Control::queryOtherDomains(Time now)
 {
     const auto endpoints = static_cast<std::size_t>(SharedTable::Endpoints);
     const std::uint64_t known = m_server.state(SharedTable::Endpoints).copy.version();
