--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -111,7 +111,7 @@
     void queryEngine(const FleetEndpoint &engine);
     void engineAnswered(const std::string &id, const CallOutcome &outcome);
     void publishEngineStates();
-    void elsewhereReported(const EngineReports &reports);
+    void otherDomainsReported(const EngineReports &reports);
     void reportsArrived(const EngineReports &reports);
     void queryOtherDomains(Time now);
     void place(Time now);
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -121,11 +121,11 @@
             source =
                 std::make_unique<PeerSource>(m_context, each, endpoints, std::make_shared<Time>());
         source->watch(std::max<std::uint64_t>(1, known), Duration {},
-                      [this](const TableAnswer &answer) { elsewhereReported(answer.engines); });
+                      [this](const TableAnswer &answer) { otherDomainsReported(answer.engines); });
     }
 }
 
-void Control::elsewhereReported(const EngineReports &reports)
+void Control::otherDomainsReported(const EngineReports &reports)
 {
     for (const EngineState &state : reports.changed) {
         const FleetEndpoint *engine = m_fleetNow->find(state.id);
