--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -139,7 +139,7 @@
     bool m_polledDirty = false;
     /// When another instance of the domain's tree told states of engines last.
     std::shared_ptr<Time> m_reportsAt = std::make_shared<Time>();
-    EngineReports m_elsewhere; ///< of other domains, not yet told on
+    EngineReports m_otherDomainReports; ///< of other domains, not yet told on
     std::map<std::string, std::unique_ptr<PeerSource>> m_elsewhereSources;
     Time m_otherDomainsAskedAt {};
     StoreChannel m_channel;
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -130,18 +130,18 @@
     for (const EngineState &state : reports.changed) {
         const FleetEndpoint *engine = m_fleetNow->find(state.id);
         if (engine && engine->domain != m_settings.domain)
-            m_elsewhere.changed.push_back(state);
+            m_otherDomainReports.changed.push_back(state);
     }
     for (const auto &[domain, at] : reports.asOf)
         if (domain != m_settings.domain)
-            m_elsewhere.asOf[domain] = std::max(m_elsewhere.asOf[domain], at);
+            m_otherDomainReports.asOf[domain] = std::max(m_otherDomainReports.asOf[domain], at);
 }
 
 /// Each engine is told anew only when it would be chosen otherwise: at a thousand engines
 /// a domain, all states told to all instances take more than their links carry.
 void Control::publishEngineStates()
 {
-    EngineReports reports = std::exchange(m_elsewhere, {});
+    EngineReports reports = std::exchange(m_otherDomainReports, {});
     if (std::exchange(m_polledDirty, false)) {
         const auto silent = silentEngines();
         for (const auto &[id, asked] : m_polled) {
