--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -140,7 +140,7 @@
     /// When another instance of the domain's tree told states of engines last.
     std::shared_ptr<Time> m_reportsAt = std::make_shared<Time>();
     EngineReports m_otherDomainReports; ///< of other domains, not yet told on
-    std::map<std::string, std::unique_ptr<PeerSource>> m_elsewhereSources;
+    std::map<std::string, std::unique_ptr<PeerSource>> m_otherDomainSources;
     Time m_otherDomainsAskedAt {};
     StoreChannel m_channel;
     StoreChannel m_crashChannel; ///< callers wait for permits: not behind what lasts longer
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -116,7 +116,7 @@
     const auto endpoints = static_cast<std::size_t>(SharedTable::Endpoints);
     const std::uint64_t known = m_server.state(SharedTable::Endpoints).copy.version();
     for (const PeerInstance &each : m_directory.remoteReaders(now)) {
-        auto &source = m_elsewhereSources[each.name + "@" + each.address];
+        auto &source = m_otherDomainSources[each.name + "@" + each.address];
         if (!source)
             source =
                 std::make_unique<PeerSource>(m_context, each, endpoints, std::make_shared<Time>());
