--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -141,7 +141,7 @@
     std::shared_ptr<Time> m_reportsAt = std::make_shared<Time>();
     EngineReports m_otherDomainReports; ///< of other domains, not yet told on
     std::map<std::string, std::unique_ptr<PeerSource>> m_otherDomainSources;
-    Time m_otherDomainsAskedAt {};
+    Time m_otherDomainsQueriedAt {};
     StoreChannel m_channel;
     StoreChannel m_crashChannel; ///< callers wait for permits: not behind what lasts longer
     ConnectionPool m_engines;
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -22,8 +22,8 @@
 {
     if (!isDomainReader() || !m_table)
         return;
-    if (now - m_otherDomainsAskedAt >= AskOtherDomainsEvery) {
-        m_otherDomainsAskedAt = now;
+    if (now - m_otherDomainsQueriedAt >= AskOtherDomainsEvery) {
+        m_otherDomainsQueriedAt = now;
         queryOtherDomains(now);
     }
     std::erase_if(m_polled, [&](const auto &each) { return !m_fleetNow->find(each.first); });
