--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -27,7 +27,7 @@
 inline constexpr std::string_view CrashTable = "crashes";
 
 /// A call to the store that is not answered by then is given up.
-inline constexpr Duration StoreCallWithin {900'000};
+inline constexpr Duration StoreCallTimeout {900'000};
 
 /// What the control thread tells the traffic thread.
 struct ControlEvents
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -104,7 +104,7 @@
         transaction.writes.push_back(std::move(row));
     }
     m_writingCrashes = true;
-    m_crashChannel.call(StoreUse::OwnRow, m_protocol.commit(transaction), StoreCallWithin,
+    m_crashChannel.call(StoreUse::OwnRow, m_protocol.commit(transaction), StoreCallTimeout,
                         [this, writes = transaction.writes](const StoreAnswer &answer) {
                             m_writingCrashes = false;
                             crashesWritten(writes, answer.reply.kind == StoreReply::Kind::Done);
@@ -195,7 +195,7 @@
         transaction.writes.push_back(
             {std::string(CrashTable), keyOf(*change.crash),
              textOfEnd(toMilliseconds(change.crash->at), m_settings.name)});
-    m_crashChannel.call(StoreUse::OwnRow, m_protocol.commit(transaction), StoreCallWithin,
+    m_crashChannel.call(StoreUse::OwnRow, m_protocol.commit(transaction), StoreCallTimeout,
                         [this, change, written = std::move(written)](const StoreAnswer &answer) {
                             const bool done = answer.reply.kind == StoreReply::Kind::Done;
                             std::vector<TrialRow> found;
--- a/src/entry/controlinstances.cpp
+++ b/src/entry/controlinstances.cpp
@@ -30,7 +30,7 @@
 
 void Control::readLease(std::uint64_t id)
 {
-    m_channel.call(StoreUse::Lease, m_protocol.read(LeaseTable, {}), StoreCallWithin,
+    m_channel.call(StoreUse::Lease, m_protocol.read(LeaseTable, {}), StoreCallTimeout,
                    [this, id](const StoreAnswer &answer) {
                        ReadOutcome outcome;
                        if (answer.reply.kind == StoreReply::Kind::Done) {
@@ -49,7 +49,7 @@
 
 void Control::writeLease(WriteLease write)
 {
-    m_channel.call(StoreUse::Lease, m_protocol.commit(write.transaction), StoreCallWithin,
+    m_channel.call(StoreUse::Lease, m_protocol.commit(write.transaction), StoreCallTimeout,
                    [this, id = write.id](const StoreAnswer &answer) {
                        TransactionOutcome outcome;
                        outcome.version = answer.reply.version;
@@ -113,7 +113,7 @@
                                                     {"seen_ms", toMilliseconds(storeNow())}});
     Transaction transaction;
     transaction.writes.push_back(std::move(write));
-    m_channel.call(StoreUse::OwnRow, m_protocol.commit(transaction), StoreCallWithin,
+    m_channel.call(StoreUse::OwnRow, m_protocol.commit(transaction), StoreCallTimeout,
                    [done = std::move(done)](const StoreAnswer &) {
                        if (done)
                            done();
