--- a/testsuite/entry/entry_process_test.cpp
+++ b/testsuite/entry/entry_process_test.cpp
@@ -28,7 +28,7 @@
 
 TEST_CASE("an instance told to stop says so, finishes what runs, and ends by itself", "[process]")
 {
-    Entry entry;
+    EntryHarness entry;
     std::atomic<bool> finish {false};
     RawServer engine(streamsOnce(finish));
     entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
@@ -52,7 +52,7 @@
 {
     // A stream keeps the process open; callers still come. What is begun in the
     // last moment would be cut with the process, so it is refused as not run.
-    Entry entry;
+    EntryHarness entry;
     std::atomic<bool> finish {false};
     RawServer engine(streamsOnce(finish));
     RawServer endpoint(
--- a/testsuite/entry/entry_test.cpp
+++ b/testsuite/entry/entry_test.cpp
@@ -10,7 +10,7 @@
 {
     // The caller of a process that has just started and cannot read the store:
     // neither "no such route" nor "unknown key" would be true.
-    Entry entry(false);
+    EntryHarness entry(false);
     CHECK_FALSE(entry.isReady());
     CHECK(entry.ask("/safe/x").starts_with("HTTP/1.1 503"));
 }
@@ -18,7 +18,7 @@
 TEST_CASE("a call goes through with the team's name, without the key, with the time left",
           "[process]")
 {
-    Entry entry;
+    EntryHarness entry;
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {good(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
@@ -43,7 +43,7 @@
     // A key may have been withdrawn while the store cannot be read. Before the
     // bound is over the caller is refused as not run, with a time to come back;
     // an unknown key is then not called unknown either.
-    Entry entry(true, "3000");
+    EntryHarness entry(true, "3000");
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {good(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
@@ -58,7 +58,7 @@
 
 TEST_CASE("a new configuration is in force, and a malformed one changes nothing", "[process]")
 {
-    Entry entry;
+    EntryHarness entry;
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {good(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
@@ -84,7 +84,7 @@
         std::string("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nSeal: s\r\nContent-Encoding: gzip\r\n"
                     "Content-Length: 4\r\n\r\nevil"),
         std::string("no answer at all\r\n\r\n"));
-    Entry entry;
+    EntryHarness entry;
     RawServer bad([&](const std::string &) { return RawAnswer {wrong, RawAnswer::Then::Close}; });
     entry.endpoint("bad", "plain", bad.address());
     const std::string unsafe = entry.ask("/unsafe/x");
@@ -97,7 +97,7 @@
 {
     // An endpoint sends a second answer that nobody asked for. The next caller
     // must not get it.
-    Entry entry;
+    EntryHarness entry;
     std::atomic<int> count {0};
     RawServer endpoint([&](const std::string &request) {
         const std::string extra =
@@ -116,7 +116,7 @@
 TEST_CASE("an endpoint that says it did not run an unsafe call is no reason to say it may have",
           "[process]")
 {
-    Entry entry;
+    EntryHarness entry;
     RawServer full([](const std::string &) {
         return RawAnswer {"HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"};
     });
@@ -128,7 +128,7 @@
 
 TEST_CASE("an unsafe call whose connection broke is sent once and may have run", "[process]")
 {
-    Entry entry;
+    EntryHarness entry;
     const auto then = GENERATE(RawAnswer::Then::Close, RawAnswer::Then::Reset);
     RawServer one([&](const std::string &) { return RawAnswer {"", then}; });
     RawServer two([&](const std::string &) { return RawAnswer {"", then}; });
@@ -142,7 +142,7 @@
 {
     // The caller sees one answer: the head and events 1 and 2 of the first
     // engine, then 3 and 4 of the second; the half event is not among them.
-    Entry entry;
+    EntryHarness entry;
     std::atomic<int> runs {0};
     const auto engine = [&](const std::string &request) -> RawAnswer {
         if (request.starts_with("GET /state"))
@@ -174,7 +174,7 @@
 
 TEST_CASE("a stream that cannot go on does not look complete", "[process]")
 {
-    Entry entry;
+    EntryHarness entry;
     RawServer engine([&](const std::string &request) -> RawAnswer {
         if (request.starts_with("GET /state"))
             return {good(request, R"({"layers":[0,4],"orders":1})")};
@@ -188,7 +188,7 @@
 
 TEST_CASE("a caller that goes away ends the work at the engine", "[process]")
 {
-    Entry entry;
+    EntryHarness entry;
     RawServer engine([&](const std::string &request) -> RawAnswer {
         if (request.starts_with("GET /state"))
             return {good(request, R"({"layers":[0,4],"orders":1})")};
@@ -204,7 +204,7 @@
 
 TEST_CASE("a request that could be read in two ways reaches no endpoint", "[process]")
 {
-    Entry entry;
+    EntryHarness entry;
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {good(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
@@ -220,7 +220,7 @@
 
 TEST_CASE("an endpoint that leaves gets nothing new", "[process]")
 {
-    Entry entry;
+    EntryHarness entry;
     RawServer old([](const std::string &request) { return RawAnswer {good(request, "old")}; });
     RawServer fresh([](const std::string &request) { return RawAnswer {good(request, "new")}; });
     entry.endpoint("old", "plain", old.address());
@@ -242,7 +242,7 @@
 // their order. The instance takes the endpoint for ready, and nothing tells it again.
 TEST_CASE("an endpoint that came and left between two readings gets nothing", "[process]")
 {
-    Entry entry;
+    EntryHarness entry;
     const auto answers = [](const std::string &body) {
         return [body](const std::string &request) { return RawAnswer {good(request, body)}; };
     };
@@ -265,7 +265,7 @@
 TEST_CASE("an endpoint that names a rate limit gets few of the calls", "[process]")
 {
     constexpr std::size_t Calls = 200;
-    Entry entry;
+    EntryHarness entry;
     const auto answer = [](const std::string &request, const std::string &header) {
         std::string text = good(request, "done");
         text.insert(text.find("\r\n") + 2, header);
--- a/testsuite/entry/entryharness.h
+++ b/testsuite/entry/entryharness.h
@@ -128,10 +128,10 @@
 }
 
 /// One instance before a store, with a key, and a route of each kind.
-class Entry
+class EntryHarness
 {
 public:
-    explicit Entry(bool configured = true, const std::string &revocationMs = "30000")
+    explicit EntryHarness(bool configured = true, const std::string &revocationMs = "30000")
     {
         if (configured)
             configure(1, R"({"good-key":"team-a"})");
