--- a/testsuite/crashing-requests/crashing_requests_test.cpp
+++ b/testsuite/crashing-requests/crashing_requests_test.cpp
@@ -19,7 +19,7 @@
 class FragileEngine
 {
 public:
-    FragileEngine(Store &store, std::string name, std::string service)
+    FragileEngine(FakeStore &store, std::string name, std::string service)
         : m_store(store)
         , m_name(std::move(name))
         , m_service(std::move(service))
@@ -72,7 +72,7 @@
         }
     }
 
-    Store &m_store;
+    FakeStore &m_store;
     std::string m_name;
     std::string m_service;
     std::string m_id;
@@ -144,7 +144,7 @@
         return all;
     }
 
-    Store store;
+    FakeStore store;
 
 private:
     std::string m_path;
--- a/testsuite/entry/entry_process_test.cpp
+++ b/testsuite/entry/entry_process_test.cpp
@@ -79,7 +79,7 @@
 {
     // Standard output is a pipe that is full after some 300 requests. Callers go
     // on getting their answers; what cannot be written is dropped and counted.
-    Store store;
+    FakeStore store;
     const std::string callers = freeAddress();
     const std::string ready = freeAddress();
     const std::string metrics = freeAddress();
@@ -122,7 +122,7 @@
     // The first signal finds a file with a value that is none: a line says so and
     // callers are served as before. The second one finds a good file; what needs a
     // restart is named.
-    Store store;
+    FakeStore store;
     const auto directory =
         boost::filesystem::temp_directory_path() / boost::filesystem::unique_path();
     boost::filesystem::create_directory(directory);
--- a/testsuite/entry/entryharness.h
+++ b/testsuite/entry/entryharness.h
@@ -12,14 +12,14 @@
 namespace balsamloft::testsuite {
 
 /// The platform's store, as far as an instance needs it.
-class Store
+class FakeStore
 {
 public:
     std::atomic<bool> down {false};
     std::atomic<bool> silent {false};
 
     /// Questions that are held end at once, not after the seconds that they may be held.
-    ~Store() { down = true; }
+    ~FakeStore() { down = true; }
 
     void put(const std::string &table, const std::string &key, const std::string &value)
     {
@@ -192,7 +192,7 @@
         return waitUntil([&] { return ask(path, key).ends_with(end); });
     }
 
-    Store store;
+    FakeStore store;
     std::string callers = freeAddress();
     std::string ready = freeAddress();
     std::unique_ptr<Process> process;
