--- a/testsuite/crashing-requests/crashing_requests_test.cpp
+++ b/testsuite/crashing-requests/crashing_requests_test.cpp
@@ -42,13 +42,13 @@
         m_ending = false;
         m_server = std::make_unique<RawServer>([this](const std::string &request) {
             if (request.starts_with("GET /state"))
-                return RawAnswer {good(request, R"({"layers":[0,4],"orders":1})")};
+                return RawAnswer {okAnswer(request, R"({"layers":[0,4],"orders":1})")};
             if (request.ends_with("end!")) {
                 m_ending = true;
                 return RawAnswer {"", RawAnswer::Then::Silence};
             }
             if (m_service == "plain")
-                return RawAnswer {good(request, "done")};
+                return RawAnswer {okAnswer(request, "done")};
             return RawAnswer {streamHead(request) + chunk(event(1)) + "0\r\n\r\n"};
         });
         m_id = m_name + "-" + std::to_string(m_ends);
--- a/testsuite/entry/entry_process_test.cpp
+++ b/testsuite/entry/entry_process_test.cpp
@@ -18,7 +18,7 @@
 {
     return [&finish](const std::string &request) -> RawAnswer {
         if (request.starts_with("GET /state"))
-            return {good(request, R"({"layers":[0,4],"orders":1})")};
+            return {okAnswer(request, R"({"layers":[0,4],"orders":1})")};
         waitUntil([&] { return finish.load(); });
         return {streamHead(request) + chunk(event(1)) + "0\r\n\r\n"};
     };
@@ -56,7 +56,7 @@
     std::atomic<bool> finish {false};
     RawServer engine(streamsOnce(finish));
     RawServer endpoint(
-        [](const std::string &request) { return RawAnswer {good(request, "done")}; });
+        [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
     entry.endpoint("e1", "plain", endpoint.address());
     std::thread caller([&] { entry.ask("/stream/x"); });
@@ -84,7 +84,7 @@
     const std::string ready = freeAddress();
     const std::string metrics = freeAddress();
     RawServer endpoint(
-        [](const std::string &request) { return RawAnswer {good(request, "done")}; });
+        [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     store.put("configuration", "current",
               R"({"version":1,"keys":{},"services":[{"name":"plain"}],"routes":[
                  {"name":"safe","host":"h","prefix":"/safe/","kind":"safe","service":"plain"}]})");
--- a/testsuite/entry/entry_test.cpp
+++ b/testsuite/entry/entry_test.cpp
@@ -20,7 +20,7 @@
 {
     EntryHarness entry;
     RawServer endpoint(
-        [](const std::string &request) { return RawAnswer {good(request, "done")}; });
+        [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
     const std::string answer =
         entry.ask("/unsafe/x", "good-key", "Team: forged\r\nX-Own: kept\r\n");
@@ -45,7 +45,7 @@
     // an unknown key is then not called unknown either.
     EntryHarness entry(true, "3000");
     RawServer endpoint(
-        [](const std::string &request) { return RawAnswer {good(request, "done")}; });
+        [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
     CHECK(waitUntil([&] { return entry.ask("/safe/x", "bad-key").starts_with("HTTP/1.1 401"); }));
     CHECK(entry.serves("/safe/x", "done"));
@@ -60,7 +60,7 @@
 {
     EntryHarness entry;
     RawServer endpoint(
-        [](const std::string &request) { return RawAnswer {good(request, "done")}; });
+        [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
     entry.configure(5, R"({"new-key":"team-b"})", "/moved/");
     CHECK(waitUntil([&] { return entry.ask("/moved/x", "new-key").starts_with("HTTP/1.1 200"); }));
@@ -101,8 +101,8 @@
     std::atomic<int> count {0};
     RawServer endpoint([&](const std::string &request) {
         const std::string extra =
-            count++ == 0 ? good("\r\nRequest-Id: r1\r\n", "evil") : std::string();
-        return RawAnswer {good(request, "done") + extra};
+            count++ == 0 ? okAnswer("\r\nRequest-Id: r1\r\n", "evil") : std::string();
+        return RawAnswer {okAnswer(request, "done") + extra};
     });
     entry.endpoint("e1", "plain", endpoint.address());
     for (int i = 0; i < 5; ++i)
@@ -146,7 +146,7 @@
     std::atomic<int> runs {0};
     const auto engine = [&](const std::string &request) -> RawAnswer {
         if (request.starts_with("GET /state"))
-            return {good(request, R"({"layers":[0,4],"orders":1})")};
+            return {okAnswer(request, R"({"layers":[0,4],"orders":1})")};
         if (runs++ == 0)
             return {streamHead(request) + chunk(event(1) + event(2)) + chunk("id: 3\nda"),
                     RawAnswer::Then::Close};
@@ -177,7 +177,7 @@
     EntryHarness entry;
     RawServer engine([&](const std::string &request) -> RawAnswer {
         if (request.starts_with("GET /state"))
-            return {good(request, R"({"layers":[0,4],"orders":1})")};
+            return {okAnswer(request, R"({"layers":[0,4],"orders":1})")};
         return {streamHead(request) + chunk(event(1)), RawAnswer::Then::Close};
     });
     entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
@@ -191,7 +191,7 @@
     EntryHarness entry;
     RawServer engine([&](const std::string &request) -> RawAnswer {
         if (request.starts_with("GET /state"))
-            return {good(request, R"({"layers":[0,4],"orders":1})")};
+            return {okAnswer(request, R"({"layers":[0,4],"orders":1})")};
         return {streamHead(request) + chunk(event(1)), RawAnswer::Then::Silence};
     });
     entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
@@ -206,7 +206,7 @@
 {
     EntryHarness entry;
     RawServer endpoint(
-        [](const std::string &request) { return RawAnswer {good(request, "done")}; });
+        [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
     const std::string answer =
         exchange(entry.callers,
@@ -221,8 +221,8 @@
 TEST_CASE("an endpoint that leaves gets nothing new", "[process]")
 {
     EntryHarness entry;
-    RawServer old([](const std::string &request) { return RawAnswer {good(request, "old")}; });
-    RawServer fresh([](const std::string &request) { return RawAnswer {good(request, "new")}; });
+    RawServer old([](const std::string &request) { return RawAnswer {okAnswer(request, "old")}; });
+    RawServer fresh([](const std::string &request) { return RawAnswer {okAnswer(request, "new")}; });
     entry.endpoint("old", "plain", old.address());
     CHECK(entry.serves("/safe/x", "old"));
     entry.endpoint("fresh", "plain", fresh.address());
@@ -244,7 +244,7 @@
 {
     EntryHarness entry;
     const auto answers = [](const std::string &body) {
-        return [body](const std::string &request) { return RawAnswer {good(request, body)}; };
+        return [body](const std::string &request) { return RawAnswer {okAnswer(request, body)}; };
     };
     RawServer stays(answers("stays"));
     RawServer left(answers("left"));
@@ -267,7 +267,7 @@
     constexpr std::size_t Calls = 200;
     EntryHarness entry;
     const auto answer = [](const std::string &request, const std::string &header) {
-        std::string text = good(request, "done");
+        std::string text = okAnswer(request, "done");
         text.insert(text.find("\r\n") + 2, header);
         return RawAnswer {text};
     };
--- a/testsuite/entry/entryharness.h
+++ b/testsuite/entry/entryharness.h
@@ -103,7 +103,7 @@
 }
 
 /// An endpoint's ordinary answer.
-inline std::string good(const std::string &request, const std::string &body)
+inline std::string okAnswer(const std::string &request, const std::string &body)
 {
     return "HTTP/1.1 200 OK\r\nRequest-Id: " + headerOf(request, "Request-Id")
            + "\r\nSeal: s\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
