--- a/testsuite/cost/main.cpp
+++ b/testsuite/cost/main.cpp
@@ -39,7 +39,7 @@
 using namespace balsamloft::soak;
 using balsamloft::testsuite::exchange;
 using balsamloft::testsuite::freeAddress;
-using balsamloft::testsuite::wholeAnswer;
+using balsamloft::testsuite::completeAnswer;
 
 namespace {
 
--- a/testsuite/crashing-requests/crashing_requests_test.cpp
+++ b/testsuite/crashing-requests/crashing_requests_test.cpp
@@ -131,7 +131,7 @@
                             + "\r\nTeam-Key: good-key\r\nDeadline-Ms: 5000\r\nTokens: 10,10\r\n"
                               "Content-Length: 4\r\n\r\n"
                             + body,
-                        wholeAnswer);
+                        completeAnswer);
     }
 
     std::size_t instances() const { return m_callers.size(); }
--- a/testsuite/entry/entry_process_test.cpp
+++ b/testsuite/entry/entry_process_test.cpp
@@ -97,14 +97,14 @@
                                 "--store=" + store.address(), "--log_all",
                                 boost::process::std_out > unread);
     const auto get = [](const std::string &address) {
-        return exchange(address, "GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n", wholeAnswer);
+        return exchange(address, "GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n", completeAnswer);
     };
     REQUIRE(waitUntil([&] { return get(ready).starts_with("HTTP/1.1 200"); }));
     const std::string request = "POST /safe/x HTTP/1.1\r\nHost: h\r\nRequest-Id: r1\r\n"
                                 "Content-Length: 0\r\n\r\n";
     int answered = 0;
     for (int i = 0; i < 1500; ++i)
-        answered += exchange(callers, request, wholeAnswer).ends_with("done") ? 1 : 0;
+        answered += exchange(callers, request, completeAnswer).ends_with("done") ? 1 : 0;
     CHECK(answered == 1500);
     CHECK(get(metrics).find("balsamloft_log_lines_dropped_total 0\n") == std::string::npos);
     child.terminate();
--- a/testsuite/entry/entry_test.cpp
+++ b/testsuite/entry/entry_test.cpp
@@ -213,7 +213,7 @@
                  "POST /safe/x HTTP/1.1\r\nHost: h\r\nRequest-Id: r1\r\nTeam-Key: good-key\r\n"
                  "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
                  "POST /unsafe/evil HTTP/1.1\r\nHost: h\r\n\r\n",
-                 wholeAnswer);
+                 completeAnswer);
     CHECK(answer.starts_with("HTTP/1.1 400"));
     CHECK(endpoint.requests().empty());
 }
--- a/testsuite/entry/entryharness.h
+++ b/testsuite/entry/entryharness.h
@@ -170,7 +170,7 @@
 
     bool isReady() const
     {
-        return exchange(ready, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n", wholeAnswer)
+        return exchange(ready, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n", completeAnswer)
             .starts_with("HTTP/1.1 200");
     }
 
@@ -181,7 +181,7 @@
                         "POST " + path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: r1\r\nTeam-Key: "
                             + key + "\r\nDeadline-Ms: 5000\r\nTokens: 10,10\r\n" + more
                             + "Content-Length: 2\r\n\r\nhi",
-                        wholeAnswer);
+                        completeAnswer);
     }
 
     /// Asks until the answer ends with \a end: on a busy machine a call may be
--- a/testsuite/entry/rawserver.cpp
+++ b/testsuite/entry/rawserver.cpp
@@ -146,7 +146,7 @@
     return answer;
 }
 
-bool wholeAnswer(const std::string &text)
+bool completeAnswer(const std::string &text)
 {
     const std::size_t head = text.find("\r\n\r\n");
     if (head == std::string::npos)
--- a/testsuite/entry/rawserver.h
+++ b/testsuite/entry/rawserver.h
@@ -56,7 +56,7 @@
                      const std::function<bool(const std::string &)> &enough);
 
 /// Whether \a text is a whole answer with a length or in chunks.
-bool wholeAnswer(const std::string &text);
+bool completeAnswer(const std::string &text);
 
 /// A free port of loopback, as "127.0.0.1:port".
 std::string freeAddress();
