--- a/testsuite/entry/entry_process_test.cpp
+++ b/testsuite/entry/entry_process_test.cpp
@@ -33,7 +33,7 @@
     RawServer engine(streamsOnce(finish));
     entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
     std::string answer;
-    std::thread caller([&] { answer = entry.ask("/stream/x"); });
+    std::thread caller([&] { answer = entry.post("/stream/x"); });
     waitUntil([&] {
         for (const std::string &request : engine.requests())
             if (request.starts_with("POST /stream"))
@@ -59,12 +59,12 @@
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
     entry.endpoint("e1", "plain", endpoint.address());
-    std::thread caller([&] { entry.ask("/stream/x"); });
+    std::thread caller([&] { entry.post("/stream/x"); });
     waitUntil([&] { return engine.requests().size() > 1; });
     entry.process->signal(SIGTERM);
     std::string answer;
     CHECK(waitUntil([&] {
-        answer = entry.ask("/safe/x");
+        answer = entry.post("/safe/x");
         // Closed without having been read: it crossed the stop, and asks again.
         return !answer.empty() && !answer.starts_with("HTTP/1.1 200");
     }));
--- a/testsuite/entry/entry_test.cpp
+++ b/testsuite/entry/entry_test.cpp
@@ -12,7 +12,7 @@
     // neither "no such route" nor "unknown key" would be true.
     EntryHarness entry(false);
     CHECK_FALSE(entry.isReady());
-    CHECK(entry.ask("/safe/x").starts_with("HTTP/1.1 503"));
+    CHECK(entry.post("/safe/x").starts_with("HTTP/1.1 503"));
 }
 
 TEST_CASE("a call goes through with the team's name, without the key, with the time left",
@@ -23,7 +23,7 @@
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
     const std::string answer =
-        entry.ask("/unsafe/x", "good-key", "Team: forged\r\nX-Own: kept\r\n");
+        entry.post("/unsafe/x", "good-key", "Team: forged\r\nX-Own: kept\r\n");
     CHECK(answer.starts_with("HTTP/1.1 200"));
     CHECK(answer.ends_with("done"));
     REQUIRE(endpoint.requests().size() == 1);
@@ -47,12 +47,12 @@
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
-    CHECK(waitUntil([&] { return entry.ask("/safe/x", "bad-key").starts_with("HTTP/1.1 401"); }));
+    CHECK(waitUntil([&] { return entry.post("/safe/x", "bad-key").starts_with("HTTP/1.1 401"); }));
     CHECK(entry.serves("/safe/x", "done"));
     entry.store.silent = true;
-    CHECK(waitUntil([&] { return entry.ask("/safe/x").starts_with("HTTP/1.1 503"); }));
-    CHECK(entry.ask("/safe/x", "bad-key").starts_with("HTTP/1.1 503"));
-    CHECK(entry.ask("/safe/x").find("Retry-After: ") != std::string::npos);
+    CHECK(waitUntil([&] { return entry.post("/safe/x").starts_with("HTTP/1.1 503"); }));
+    CHECK(entry.post("/safe/x", "bad-key").starts_with("HTTP/1.1 503"));
+    CHECK(entry.post("/safe/x").find("Retry-After: ") != std::string::npos);
     CHECK(waitUntil([&] { return !entry.isReady(); }));
 }
 
@@ -63,9 +63,9 @@
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
     entry.configure(5, R"({"new-key":"team-b"})", "/moved/");
-    CHECK(waitUntil([&] { return entry.ask("/moved/x", "new-key").starts_with("HTTP/1.1 200"); }));
-    CHECK(entry.ask("/safe/x", "new-key").starts_with("HTTP/1.1 404"));
-    CHECK(entry.ask("/moved/x").starts_with("HTTP/1.1 401"));
+    CHECK(waitUntil([&] { return entry.post("/moved/x", "new-key").starts_with("HTTP/1.1 200"); }));
+    CHECK(entry.post("/safe/x", "new-key").starts_with("HTTP/1.1 404"));
+    CHECK(entry.post("/moved/x").starts_with("HTTP/1.1 401"));
     entry.store.put("configuration", "current", "{broken");
     entry.process->waitFor("\"event\":\"(not taken)\"");
     CHECK(entry.serves("/moved/x", "done", "new-key"));
@@ -87,7 +87,7 @@
     EntryHarness entry;
     RawServer bad([&](const std::string &) { return RawAnswer {wrong, RawAnswer::Then::Close}; });
     entry.endpoint("bad", "plain", bad.address());
-    const std::string unsafe = entry.ask("/unsafe/x");
+    const std::string unsafe = entry.post("/unsafe/x");
     CHECK(unsafe.starts_with("HTTP/1.1 502"));
     CHECK(unsafe.find("evil") == std::string::npos);
     CHECK(bad.requests().size() == 1);
@@ -107,7 +107,7 @@
     entry.endpoint("e1", "plain", endpoint.address());
     for (int i = 0; i < 5; ++i)
         CHECK(waitUntil([&] {
-            const std::string answer = entry.ask("/safe/x");
+            const std::string answer = entry.post("/safe/x");
             CHECK(answer.find("evil") == std::string::npos);
             return answer.ends_with("done");
         }));
@@ -121,7 +121,7 @@
         return RawAnswer {"HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"};
     });
     entry.endpoint("full", "plain", full.address());
-    const std::string answer = entry.ask("/unsafe/x");
+    const std::string answer = entry.post("/unsafe/x");
     CHECK(answer.starts_with("HTTP/1.1 503"));
     CHECK(answer.find("Retry-After: ") != std::string::npos);
 }
@@ -134,7 +134,7 @@
     RawServer two([&](const std::string &) { return RawAnswer {"", then}; });
     entry.endpoint("one", "plain", one.address());
     entry.endpoint("two", "plain", two.address());
-    CHECK(entry.ask("/unsafe/x").starts_with("HTTP/1.1 502"));
+    CHECK(entry.post("/unsafe/x").starts_with("HTTP/1.1 502"));
     CHECK(one.requests().size() + two.requests().size() == 1);
 }
 
@@ -156,7 +156,7 @@
     RawServer b(engine);
     entry.endpoint("a", "model", a.address(), R"(,"layers":[0,4])");
     entry.endpoint("b", "model", b.address(), R"(,"layers":[0,4])");
-    const std::string answer = entry.ask("/stream/x");
+    const std::string answer = entry.post("/stream/x");
     std::string events;
     for (int i = 1; i <= 4; ++i) {
         const std::size_t at = answer.find(event(i));
@@ -181,7 +181,7 @@
         return {streamHead(request) + chunk(event(1)), RawAnswer::Then::Close};
     });
     entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
-    const std::string answer = entry.ask("/stream/x");
+    const std::string answer = entry.post("/stream/x");
     CHECK(answer.find(event(1)) != std::string::npos);
     CHECK_FALSE(answer.ends_with("0\r\n\r\n"));
 }
@@ -257,7 +257,7 @@
     entry.endpoint("later", "plain", later.address());
     CHECK(entry.serves("/safe/x", "later")); // the list has been read since
     for (int i = 0; i < 20; ++i)
-        entry.ask("/safe/x");
+        entry.post("/safe/x");
     CHECK(left.requests().empty());
 }
 
@@ -277,7 +277,7 @@
     entry.endpoint("e1", "plain", limited.address());
     entry.endpoint("e2", "plain", other.address());
     for (std::size_t i = 0; i < Calls; ++i)
-        CHECK(entry.ask("/safe/x").starts_with("HTTP/1.1 200"));
+        CHECK(entry.post("/safe/x").starts_with("HTTP/1.1 200"));
     CHECK(limited.requests().size() < Calls / 10);
     CHECK(limited.requests().size() + other.requests().size() >= Calls);
 }
--- a/testsuite/entry/entryharness.h
+++ b/testsuite/entry/entryharness.h
@@ -174,7 +174,7 @@
             .starts_with("HTTP/1.1 200");
     }
 
-    std::string ask(const std::string &path, const std::string &key = "good-key",
+    std::string post(const std::string &path, const std::string &key = "good-key",
                     const std::string &more = "") const
     {
         return exchange(callers,
@@ -189,7 +189,7 @@
     bool serves(const std::string &path, const std::string &end,
                 const std::string &key = "good-key") const
     {
-        return waitUntil([&] { return ask(path, key).ends_with(end); });
+        return waitUntil([&] { return post(path, key).ends_with(end); });
     }
 
     FakeStore store;
