--- a/testsuite/entry/entry_test.cpp
+++ b/testsuite/entry/entry_test.cpp
@@ -48,7 +48,7 @@
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     entry.endpoint("e1", "plain", endpoint.address());
     CHECK(waitUntil([&] { return entry.post("/safe/x", "bad-key").starts_with("HTTP/1.1 401"); }));
-    CHECK(entry.serves("/safe/x", "done"));
+    CHECK(entry.answersWith("/safe/x", "done"));
     entry.store.silent = true;
     CHECK(waitUntil([&] { return entry.post("/safe/x").starts_with("HTTP/1.1 503"); }));
     CHECK(entry.post("/safe/x", "bad-key").starts_with("HTTP/1.1 503"));
@@ -68,7 +68,7 @@
     CHECK(entry.post("/moved/x").starts_with("HTTP/1.1 401"));
     entry.store.put("configuration", "current", "{broken");
     entry.process->waitFor("\"event\":\"(not taken)\"");
-    CHECK(entry.serves("/moved/x", "done", "new-key"));
+    CHECK(entry.answersWith("/moved/x", "done", "new-key"));
 }
 
 TEST_CASE("what an endpoint sends that is no answer to the request reaches nobody", "[process]")
@@ -224,7 +224,7 @@
     RawServer old([](const std::string &request) { return RawAnswer {okAnswer(request, "old")}; });
     RawServer fresh([](const std::string &request) { return RawAnswer {okAnswer(request, "new")}; });
     entry.endpoint("old", "plain", old.address());
-    CHECK(entry.serves("/safe/x", "old"));
+    CHECK(entry.answersWith("/safe/x", "old"));
     entry.endpoint("fresh", "plain", fresh.address());
     entry.store.put("endpoints", "old",
                     R"({"service":"plain","address":")" + old.address()
@@ -232,7 +232,7 @@
     entry.process->waitFor("\"number\":(3)"); // it has heard
     const std::size_t before = old.requests().size();
     for (int i = 0; i < 20; ++i)
-        CHECK(entry.serves("/safe/x", "new"));
+        CHECK(entry.answersWith("/safe/x", "new"));
     CHECK(old.requests().size() == before);
 }
 
@@ -250,12 +250,12 @@
     RawServer left(answers("left"));
     RawServer later(answers("later"));
     entry.endpoint("stays", "plain", stays.address());
-    CHECK(entry.serves("/safe/x", "stays"));
+    CHECK(entry.answersWith("/safe/x", "stays"));
     entry.store.putAndDrop("endpoints", "left",
                            R"({"service":"plain","address":")" + left.address()
                                + R"(","domain":"d","kind":"card"})");
     entry.endpoint("later", "plain", later.address());
-    CHECK(entry.serves("/safe/x", "later")); // the list has been read since
+    CHECK(entry.answersWith("/safe/x", "later")); // the list has been read since
     for (int i = 0; i < 20; ++i)
         entry.post("/safe/x");
     CHECK(left.requests().empty());
--- a/testsuite/entry/entryharness.h
+++ b/testsuite/entry/entryharness.h
@@ -186,7 +186,7 @@
 
     /// Asks until the answer ends with \a end: on a busy machine a call may be
     /// given up and refused as not run.
-    bool serves(const std::string &path, const std::string &end,
+    bool answersWith(const std::string &path, const std::string &end,
                 const std::string &key = "good-key") const
     {
         return waitUntil([&] { return post(path, key).ends_with(end); });
