--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -17,7 +17,7 @@
 struct EngineTrackerSettings
 {
     Duration suspicion {4'000'000}; ///< a silent endpoint is left out this long
-    Duration shortage {150'000}; ///< an endpoint without room is left out this long
+    Duration initialBusyPause {150'000}; ///< an endpoint without room is left out this long
     Duration maxBusyPause {2'400'000}; ///< doubled with each refusal in a row, up to this
     Duration slowdownLifetime {3'000'000}; ///< a report of slowness is believed this long
     Duration failureHalfLife {3'000'000};
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -77,7 +77,7 @@
         return;
     if (now - each.pausedUntil > m_settings.maxBusyPause)
         each.shortages = 0;
-    each.pausedUntil = now + exponentialBackoff(m_settings.shortage, each.shortages, m_settings.maxBusyPause);
+    each.pausedUntil = now + exponentialBackoff(m_settings.initialBusyPause, each.shortages, m_settings.maxBusyPause);
     each.shortages += 1;
 }
 
