--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -279,7 +279,7 @@
      "return endpoint && !endpoint->draining;", "return true;",
      "relay_test: right before the bytes leave it is asked again whether they may"),
     ("longer pauses after refusals", "src/libbalsamloft/enginetracker.cpp",
-     "exponentialBackoff(m_settings.initialBusyPause, each.shortages, m_settings.maxBusyPause)", "m_settings.initialBusyPause",
+     "exponentialBackoff(m_settings.initialBusyPause, each.consecutiveRefusals, m_settings.maxBusyPause)", "m_settings.initialBusyPause",
      "relay_test: an engine that goes on refusing is asked less and less often"),
     ("lapsed entries are kept", "src/libbalsamloft/enginefleet.cpp",
      "if (outage && !it->second.endpoint.draining) {", "if (false) {",
--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -59,7 +59,7 @@
     Time suspectUntil {};
     Time heardAt {}; ///< it answered this instance last
     Time pausedUntil {};
-    std::uint32_t shortages = 0; ///< refusals in a row
+    std::uint32_t consecutiveRefusals = 0; ///< refusals in a row
     double pace = 1; ///< over 1: slower than its kind
     Time slowdownUntil {};
     double failures = 0; ///< decaying count of failed requests
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -76,16 +76,16 @@
     if (now < each.pausedUntil)
         return;
     if (now - each.pausedUntil > m_settings.maxBusyPause)
-        each.shortages = 0;
-    each.pausedUntil = now + exponentialBackoff(m_settings.initialBusyPause, each.shortages, m_settings.maxBusyPause);
-    each.shortages += 1;
+        each.consecutiveRefusals = 0;
+    each.pausedUntil = now + exponentialBackoff(m_settings.initialBusyPause, each.consecutiveRefusals, m_settings.maxBusyPause);
+    each.consecutiveRefusals += 1;
 }
 
 void EngineTracker::resetRefusals(const std::string &id)
 {
     const auto it = m_beliefs.find(id);
     if (it != m_beliefs.end())
-        it->second.shortages = 0;
+        it->second.consecutiveRefusals = 0;
 }
 
 void EngineTracker::setSlowdown(const std::string &id, double pace, Time now)
