--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -72,7 +72,7 @@
      "m_quarantine.endpointUnresponsive(state.id, state.at);", "(void)now;",
      "crashingrequests_test: a request that hangs its engines is found out"),
     ("old news of silence shut nothing out", "src/libbalsamloft/enginetracker.cpp",
-     "if (state.at > each.heardAt)", "if (true)",
+     "if (state.at > each.lastAnswerAt)", "if (true)",
      "relay_test: late news of silence shut no engine out that has answered since"),
     ("an empty engine is given what serves best", "src/libbalsamloft/layerplanner.cpp",
      "for (std::uint32_t count = 1; count <= most; ++count) {",
--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -57,7 +57,7 @@
     std::uint32_t streams = 0; ///< own requests on it
     double tokenLayers = 0; ///< KV memory that they need, in tokens times layers
     Time suspectUntil {};
-    Time heardAt {}; ///< it answered this instance last
+    Time lastAnswerAt {}; ///< it answered this instance last
     Time pausedUntil {};
     std::uint32_t consecutiveRefusals = 0; ///< refusals in a row
     double pace = 1; ///< over 1: slower than its kind
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -66,7 +66,7 @@
     if (it == m_beliefs.end())
         return;
     it->second.suspectUntil = Time {};
-    it->second.heardAt = now;
+    it->second.lastAnswerAt = now;
 }
 
 void EngineTracker::refusedBusy(const std::string &id, Time now)
@@ -183,7 +183,7 @@
         return;
     if (state.silent) {
         // News that was under way when the engine answered is older than the answer.
-        if (state.at > each.heardAt)
+        if (state.at > each.lastAnswerAt)
             suspect(state.id, now);
         return;
     }
