--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -189,7 +189,7 @@
     }
     setSlowdown(state.id, state.pace, now);
     each.reportedAt = state.at;
-    each.validAt = std::max(each.validAt, state.at);
+    each.confirmedAt = std::max(each.confirmedAt, state.at);
     each.reportedUsed = state.used;
     each.reportedActive = state.active;
     each.reportedQueued = state.queued;
@@ -207,11 +207,11 @@
 void EngineTracker::confirmUnchanged(std::string_view id, Time at, Time now)
 {
     const auto it = m_beliefs.find(id);
-    if (it == m_beliefs.end() || it->second.reportedAt == Time {} || at <= it->second.validAt)
+    if (it == m_beliefs.end() || it->second.reportedAt == Time {} || at <= it->second.confirmedAt)
         return;
     EngineEstimate &each = it->second;
     each.slowdownUntil = std::max(each.slowdownUntil, at + m_settings.slowdownLifetime);
-    each.validAt = at;
+    each.confirmedAt = at;
     if (now - each.countedAt >= m_settings.reportInterval)
         countOwn(each, now);
 }
@@ -222,7 +222,7 @@
     if (!each)
         return {};
     const double others = scale(domain);
-    if (now - each->validAt > m_settings.reportLifetime)
+    if (now - each->confirmedAt > m_settings.reportLifetime)
         return {each->tokenLayers * others, each->streams * others, 0, false};
     const double newUsed = std::max(0.0, each->tokenLayers - each->ownUsedAtReport);
     const double newStreams = each->streams > each->ownRequestsAtReport
