--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -68,7 +68,7 @@
     std::uint32_t ownStartingHere = 0; ///< own requests that entered the engines here
     Time reportedAt {}; ///< never: the beginning of time
     Time confirmedAt {}; ///< as of then it still was so
-    Time countedAt {}; ///< own work was counted then, see ownUsedAtReport
+    Time ownCountedAt {}; ///< own work was counted then, see ownUsedAtReport
     double reportedUsed = 0;
     std::uint32_t reportedActive = 0;
     std::uint32_t reportedQueued = 0;
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -199,7 +199,7 @@
 /// What is sent from now on comes on top of what was reported.
 void EngineTracker::countOwn(EngineEstimate &belief, Time now)
 {
-    belief.countedAt = now;
+    belief.ownCountedAt = now;
     belief.ownUsedAtReport = belief.tokenLayers;
     belief.ownRequestsAtReport = belief.streams;
 }
@@ -212,7 +212,7 @@
     EngineEstimate &each = it->second;
     each.slowdownUntil = std::max(each.slowdownUntil, at + m_settings.slowdownLifetime);
     each.confirmedAt = at;
-    if (now - each.countedAt >= m_settings.reportInterval)
+    if (now - each.ownCountedAt >= m_settings.reportInterval)
         countOwn(each, now);
 }
 
