--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -103,7 +103,7 @@
     void suspect(const std::string &id, Time now);
 
     /// The endpoint answered this instance: it is alive.
-    void cleared(const std::string &id, Time now);
+    void recordAnswer(const std::string &id, Time now);
 
     /// The endpoint refused for want of room, or of a part that it gave up. One
     /// that goes on refusing is left alone for longer and longer: each refusal
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -60,7 +60,7 @@
     belief(id).suspectUntil = now + m_settings.suspicion;
 }
 
-void EngineTracker::cleared(const std::string &id, Time now)
+void EngineTracker::recordAnswer(const std::string &id, Time now)
 {
     const auto it = m_beliefs.find(id);
     if (it == m_beliefs.end())
