--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -124,7 +124,7 @@
     void confirmUnchanged(std::string_view id, Time at, Time now);
 
     /// How many instances are believed to send work to a domain's engines.
-    void setSharingInstances(double sharers) { m_sharingInstances = sharers; }
+    void setSharingInstances(double sharingInstances) { m_sharingInstances = sharingInstances; }
 
     /// A request of this instance goes from \a from to \a to, two domains, and takes
     /// their pipe for \a pipeMs.
@@ -136,7 +136,7 @@
     // Queries
 
     /// Instances that are believed to send work to a domain's engines.
-    double sharers() const { return m_sharingInstances; }
+    double sharingInstances() const { return m_sharingInstances; }
 
     /// Share of the time that the pipe between two domains is believed to be in
     /// use: own requests of late, times the instances.
