--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -128,7 +128,7 @@
 
     /// A request of this instance goes from \a from to \a to, two domains, and takes
     /// their pipe for \a pipeMs.
-    void crossed(const std::string &from, const std::string &to, double pipeMs, Time now);
+    void recordTransfer(const std::string &from, const std::string &to, double pipeMs, Time now);
 
     /// How many instances there are in all domains.
     void setInstances(double instances) { m_instances = instances; }
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -135,7 +135,7 @@
 
 } // namespace
 
-void EngineTracker::crossed(const std::string &from, const std::string &to, double pipeMs, Time now)
+void EngineTracker::recordTransfer(const std::string &from, const std::string &to, double pipeMs, Time now)
 {
     PipeUse &use = m_pipes[std::minmax(from, to)];
     use.ms = use.ms * pipeDecay(use.at, now) + pipeMs;
