--- a/src/libbalsamloft/placementmanager.cpp
+++ b/src/libbalsamloft/placementmanager.cpp
@@ -148,7 +148,7 @@
                 continue;
             m_routedAway.erase(away);
         }
-        m_orders.want(assignment, endpoint.checksFencing);
+        m_orders.setWanted(assignment, endpoint.checksFencing);
     }
 }
 
