--- a/src/libbalsamloft/placementmanager.cpp
+++ b/src/libbalsamloft/placementmanager.cpp
@@ -166,7 +166,7 @@
             return;
         }
         const bool loaded = std::all_of(parts.begin(), parts.end(), [&](const Assignment &part) {
-            return m_orders.settled(part.engine);
+            return m_orders.isApplied(part.engine);
         });
         if (!loaded)
             continue;
