--- a/src/libbalsamloft/placementmanager.cpp
+++ b/src/libbalsamloft/placementmanager.cpp
@@ -205,7 +205,7 @@
 std::vector<std::string> PlacementManager::explain() const
 {
     std::vector<std::string> lines = m_notes;
-    for (std::string &line : m_orders.unsettled())
+    for (std::string &line : m_orders.mismatches())
         lines.push_back(std::move(line));
     return lines;
 }
