--- a/src/balsamloftd/trafficworker.cpp
+++ b/src/balsamloftd/trafficworker.cpp
@@ -251,8 +251,8 @@
         exchange->respond(std::move(response));
     };
     if (!m_router.config()) {
-        const RefuseRequest refusal {id, RefusalCode::NotReady, "no configuration yet", Executed::No,
-                                     std::chrono::seconds(1)};
+        const RefuseRequest refusal {id, RefusalCode::NotReady, "no configuration yet",
+                                     Executed::No, std::chrono::seconds(1)};
         return refuseEarly(refusalResponse(refusal));
     }
     auto read = readCallerRequest(exchange->request(), *m_router.config(), m_settings.callers, now);
--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -91,8 +91,9 @@
     m_out += "HTTP/1.1 " + std::to_string(head.status) + " " + std::string(statusText(head.status))
              + "\r\n";
     for (const HeaderField &field : head.fields) {
-        const bool listed = std::any_of(connection.begin(), connection.end(),
-                                        [&](auto &each) { return sameFieldName(each, field.name); });
+        const bool listed = std::any_of(connection.begin(), connection.end(), [&](auto &each) {
+            return sameFieldName(each, field.name);
+        });
         if (!isHopByHopField(field.name) && !listed)
             m_out += field.name + ": " + field.value + "\r\n";
     }
@@ -206,11 +207,12 @@
     const Time now = steadyNow();
     const Duration first =
         m_firstEventAt > m_startedAt ? m_firstEventAt - m_startedAt : Duration {};
-    const bool late = m_route
-                      && (first > m_route->targetLatency
-                          || (m_route->targetEventGap > Duration {} && m_longestGap > m_route->targetEventGap)
-                          || (m_route->kind != RequestKind::Stream
-                              && now - m_startedAt > m_route->targetLatency));
+    const bool late =
+        m_route
+        && (first > m_route->targetLatency
+            || (m_route->targetEventGap > Duration {} && m_longestGap > m_route->targetEventGap)
+            || (m_route->kind != RequestKind::Stream
+                && now - m_startedAt > m_route->targetLatency));
     RequestOutcome ended;
     ended.kind = m_route ? m_route->kind : RequestKind::Safe;
     ended.outcome = outcome;
--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -37,16 +37,17 @@
     m_eventsBefore = m_passedEvents;
     m_answer.reset();
     m_events.reset();
-    note(
-        "sent to " + send.endpoint + " (" + send.reason + ")"
-        + (send.path.empty() ? std::string() : " along " + m_server.protocol().pathText(send.path)));
+    note("sent to " + send.endpoint + " (" + send.reason + ")"
+         + (send.path.empty() ? std::string()
+                              : " along " + m_server.protocol().pathText(send.path)));
     ExchangeSettings settings;
     settings.endpoint = send.endpoint;
     settings.address = send.address;
     settings.freshConnection = send.freshConnection;
     settings.requestIdName = m_server.protocol().headers().requestId;
     settings.requestId = m_requestId;
-    m_exchange = std::make_shared<Exchange>(m_server.pool(), std::move(settings), requestText(send));
+    m_exchange =
+        std::make_shared<Exchange>(m_server.pool(), std::move(settings), requestText(send));
     m_exchange->start(*this, steadyNow());
 }
 
@@ -73,7 +74,7 @@
         m_flight.reset();
         abandonAttempt();
         m_server.keysFresh() ? refuse(401, "key withdrawn")
-                            : refuse(503, "keys too old", Duration(300'000));
+                             : refuse(503, "keys too old", Duration(300'000));
         return false;
     }
     if (m_flight && m_server.maySend(*m_flight, m_attempt))
@@ -165,7 +166,7 @@
         // Complete in form, but in the middle of an event: it was cut.
         if (m_events->partial())
             m_server.relay().attemptFailed(*m_flight, m_attempt, AttemptFailure::InvalidAnswer, now,
-                                          actions);
+                                           actions);
         else
             m_server.relay().streamCompleted(*m_flight, m_attempt, now, actions);
         return m_server.run(std::move(actions));
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -132,7 +132,7 @@
     // What this instance knows may be too old to deny anything by.
     if (!route)
         return m_server.keysFresh() ? refuse(404, "no route")
-                                   : refuse(503, "configuration too old", Duration(300'000));
+                                    : refuse(503, "configuration too old", Duration(300'000));
     if (!admit(*route, *m_table))
         return;
     if (m_requestId.empty())
--- a/src/entry/connectionpool.cpp
+++ b/src/entry/connectionpool.cpp
@@ -44,7 +44,8 @@
     while (it != m_idle.end() && !it->second.empty()) {
         PooledConnectionPtr connection = std::move(it->second.back());
         it->second.pop_back();
-        if (now - connection->idleSince < connection->keepFor && isIdleConnection(connection->socket))
+        if (now - connection->idleSince < connection->keepFor
+            && isIdleConnection(connection->socket))
             return connection;
     }
     return nullptr;
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -35,8 +35,12 @@
     const auto tries = numberField(*object, "tries");
     if (!at || !holder || !until || !tries || *tries < 0)
         return std::nullopt;
-    return TrialRow {row.key, row.version,    *at,
-                     *holder, timeFromMilliseconds(*until), static_cast<std::uint32_t>(*tries)};
+    return TrialRow {row.key,
+                     row.version,
+                     *at,
+                     *holder,
+                     timeFromMilliseconds(*until),
+                     static_cast<std::uint32_t>(*tries)};
 }
 
 std::string valueOf(const TrialRow &row)
@@ -60,7 +64,8 @@
     const auto atMs = object ? numberField(*object, "at_ms") : std::nullopt;
     if (slash == std::string::npos || !atMs)
         return std::nullopt;
-    return CrashRecord {row.key.substr(0, slash), row.key.substr(slash + 1), timeFromMilliseconds(*atMs)};
+    return CrashRecord {row.key.substr(0, slash), row.key.substr(slash + 1),
+                        timeFromMilliseconds(*atMs)};
 }
 
 } // namespace
@@ -69,7 +74,7 @@
 {
     if (!m_storeOffset) {
         m_unpublishedCrashes.added.insert(m_unpublishedCrashes.added.end(), news.added.begin(),
-                                     news.added.end());
+                                          news.added.end());
         return;
     }
     for (const CrashRecord &each : news.added) {
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -72,8 +72,8 @@
 {
     const FleetEndpoint *engine = m_fleetNow->find(id);
     const auto asked = m_polled.find(id);
-    if (!engine || asked == m_polled.end() || engine->domain != m_settings.domain || !isDomainReader()
-        || asked->second.misses >= MissesToSilence)
+    if (!engine || asked == m_polled.end() || engine->domain != m_settings.domain
+        || !isDomainReader() || asked->second.misses >= MissesToSilence)
         return;
     asked->second.misses = MissesToSilence - 1;
     queryEngine(*engine);
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -34,7 +34,7 @@
         , m_readiness(m_traffic,
                       [this](std::string_view, const SimpleHttpServer::Reply &reply) {
                           reply(m_trafficServer.ready() ? HttpAnswer {200, "ready\n"}
-                                                : HttpAnswer {503, "not ready\n"});
+                                                        : HttpAnswer {503, "not ready\n"});
                       })
         , m_metrics(m_traffic,
                     [this](std::string_view, const SimpleHttpServer::Reply &reply) {
@@ -47,8 +47,8 @@
     int run()
     {
         Reason reason;
-        if (!m_trafficServer.listen(reason) || !m_readiness.listen(m_settings.readinessAddress, reason)
-            || !m_control.listen(reason)
+        if (!m_trafficServer.listen(reason)
+            || !m_readiness.listen(m_settings.readinessAddress, reason) || !m_control.listen(reason)
             || (!m_settings.metrics.empty() && !m_metrics.listen(m_settings.metrics, reason))) {
             logDecision("entry", "cannot start", {{"reason", std::string_view(reason)}});
             flushDecisionLog();
@@ -101,11 +101,13 @@
                        [this, known = std::move(known)] { m_trafficServer.setInstances(known); });
         };
         events.engines = [this](EngineReports reports) {
-            asio::post(m_traffic,
-                       [this, reports = std::move(reports)] { m_trafficServer.applyEngineReports(reports); });
+            asio::post(m_traffic, [this, reports = std::move(reports)] {
+                m_trafficServer.applyEngineReports(reports);
+            });
         };
         events.crashes = [this](std::vector<CrashRecord> all) {
-            asio::post(m_traffic, [this, all = std::move(all)] { m_trafficServer.setSharedCrashes(all); });
+            asio::post(m_traffic,
+                       [this, all = std::move(all)] { m_trafficServer.setSharedCrashes(all); });
         };
         return events;
     }
--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -81,26 +81,28 @@
     const TableState &state = m_states[table];
     const std::uint64_t nowMs = milliseconds(steadyNow());
     const std::uint64_t statesSinceMs = toldBeforeMs > 0 || changedWithinMs == 0
-                                     ? toldBeforeMs
-                                     : nowMs - std::min(nowMs, changedWithinMs);
+                                            ? toldBeforeMs
+                                            : nowMs - std::min(nowMs, changedWithinMs);
     const bool known = state.copy.known();
     if (waitMs == 0 || (known && (state.copy.version() > after || after == 0)))
         return reply(answer(table, after, statesSinceMs));
-    m_waiters.push_back({table, after, statesSinceMs, state.knownAt, steadyNow() + Duration(waitMs * 1000),
-                         std::move(reply)});
+    m_waiters.push_back({table, after, statesSinceMs, state.knownAt,
+                         steadyNow() + Duration(waitMs * 1000), std::move(reply)});
     if (!std::exchange(m_timing, true))
         expire();
 }
 
 /// A table that is not known yet is no answer: its asker must not take it for empty.
-HttpAnswer PeerServer::answer(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const
+HttpAnswer PeerServer::answer(std::size_t table, std::uint64_t after,
+                              std::uint64_t statesSinceMs) const
 {
     if (!m_states[table].copy.known())
         return {503, {}};
     return {200, news(table, after, statesSinceMs)};
 }
 
-std::string PeerServer::news(std::size_t table, std::uint64_t after, std::uint64_t statesSinceMs) const
+std::string PeerServer::news(std::size_t table, std::uint64_t after,
+                             std::uint64_t statesSinceMs) const
 {
     const TableState &state = m_states[table];
     wire::TableNews news;
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -5,8 +5,8 @@
 
 #include "simplehttpserver.h"
 
-#include <balsamloft/enginetracker.h>
 #include <balsamloft/enginefleet.h>
+#include <balsamloft/enginetracker.h>
 #include <balsamloft/tableupdate.h>
 
 #include <boost/asio/steady_timer.hpp>
--- a/src/entry/settings.cpp
+++ b/src/entry/settings.cpp
@@ -136,11 +136,13 @@
         std::string_view flag;
         std::string EntrySettings::*value;
     };
-    static constexpr Member Members[] = {
-        {"name", &EntrySettings::name},         {"domain", &EntrySettings::domain},
-        {"listen", &EntrySettings::callerAddress},    {"ready_listen", &EntrySettings::readinessAddress},
-        {"peer_listen", &EntrySettings::peers}, {"metrics_listen", &EntrySettings::metrics},
-        {"store", &EntrySettings::store}};
+    static constexpr Member Members[] = {{"name", &EntrySettings::name},
+                                         {"domain", &EntrySettings::domain},
+                                         {"listen", &EntrySettings::callerAddress},
+                                         {"ready_listen", &EntrySettings::readinessAddress},
+                                         {"peer_listen", &EntrySettings::peers},
+                                         {"metrics_listen", &EntrySettings::metrics},
+                                         {"store", &EntrySettings::store}};
     std::string names;
     const auto add = [&](std::string_view flag, bool differs) {
         if (differs)
--- a/src/entry/tablefollower.cpp
+++ b/src/entry/tablefollower.cpp
@@ -125,7 +125,8 @@
         else if (news)
             m_events.changed(answer.reply.rows, m_version, answer);
         m_events.heard(source, answer);
-        const Duration minInterval = source.isStore() ? m_settings.minInterval : m_settings.peerMinInterval;
+        const Duration minInterval =
+            source.isStore() ? m_settings.minInterval : m_settings.peerMinInterval;
         if (minInterval > Duration {} && news)
             return later(minInterval, [this] { watch(); });
         return watch();
--- a/src/entry/tablesource.cpp
+++ b/src/entry/tablesource.cpp
@@ -95,7 +95,7 @@
     m_call = std::make_shared<TimedCall>(
         m_pool, std::move(settings),
         formatRequest({"GET", updateTarget({m_table, after, wait, m_toldMs, changedWithin()}), {}},
-                 m_peer.address),
+                      m_peer.address),
         answerLimits(after == 0, wait),
         [this, sentAt, callback = std::move(callback)](const CallOutcome &outcome) {
             callback(decode(outcome, sentAt));
--- a/src/entry/timedcall.cpp
+++ b/src/entry/timedcall.cpp
@@ -5,7 +5,7 @@
 namespace balsamloft {
 
 TimedCall::TimedCall(ConnectionPool &pool, ExchangeSettings settings, std::string request,
-                 CallLimits limits, Callback callback)
+                     CallLimits limits, Callback callback)
     : m_timer(pool.context())
     , m_limits(limits)
     , m_onlyConnects(request.empty())
@@ -91,7 +91,7 @@
     settings.endpoint = endpoint;
     settings.address = address;
     std::make_shared<TimedCall>(pool, std::move(settings), formatRequest(call, address), within,
-                              std::move(callback))
+                                std::move(callback))
         ->start();
 }
 
--- a/src/entry/timedcall.h
+++ b/src/entry/timedcall.h
@@ -28,8 +28,8 @@
 public:
     using Callback = std::function<void(CallOutcome)>;
 
-    TimedCall(ConnectionPool &pool, ExchangeSettings settings, std::string request, CallLimits limits,
-            Callback callback);
+    TimedCall(ConnectionPool &pool, ExchangeSettings settings, std::string request,
+              CallLimits limits, Callback callback);
 
     void start();
 
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -48,7 +48,7 @@
 } // namespace
 
 TrafficServer::TrafficServer(asio::io_context &context, const EntrySettings &settings,
-                           const EntryProtocol &protocol, EntryState &state)
+                             const EntryProtocol &protocol, EntryState &state)
     : m_context(context)
     , m_settings(settings)
     , m_protocol(protocol)
@@ -132,7 +132,8 @@
 {
     const Time now = steadyNow();
     m_relay.setInstances(known.inDomain, known.count, now);
-    m_relay.shareLimits(known.all, m_settings.name, known.storeClockOffset + (bootNow() - now), now);
+    m_relay.shareLimits(known.all, m_settings.name, known.storeClockOffset + (bootNow() - now),
+                        now);
 }
 
 void TrafficServer::reload(const EntrySettings &settings)
@@ -162,7 +163,8 @@
 {
     const Duration age = m_state.keyAge(bootNow());
     return m_table && m_state.fleetKnown && !m_stopping
-           && age < Duration(static_cast<std::int64_t>(m_settings.revocationTime.count() * ReadyShare));
+           && age < Duration(
+                  static_cast<std::int64_t>(m_settings.revocationTime.count() * ReadyShare));
 }
 
 bool TrafficServer::acceptsNew(RequestKind kind, Time now) const
@@ -202,7 +204,7 @@
 }
 
 void TrafficServer::connectionChecked(const std::string &endpoint, Time askedAt,
-                                     const CallOutcome &outcome)
+                                      const CallOutcome &outcome)
 {
     m_questions.erase(endpoint);
     RelayActions actions;
@@ -238,7 +240,7 @@
 }
 
 void TrafficServer::engineAnswered(const std::string &endpoint, Time askedAt,
-                                  const CallOutcome &outcome)
+                                   const CallOutcome &outcome)
 {
     m_questions.erase(endpoint);
     RelayActions actions;
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -4,9 +4,9 @@
 #pragma once
 
 #include "entrystate.h"
-#include "timedcall.h"
 #include "requestmetrics.h"
 #include "settings.h"
+#include "timedcall.h"
 
 #include <balsamloft/entryprotocol.h>
 
@@ -23,7 +23,7 @@
 {
 public:
     TrafficServer(boost::asio::io_context &context, const EntrySettings &settings,
-                 const EntryProtocol &protocol, EntryState &state);
+                  const EntryProtocol &protocol, EntryState &state);
     ~TrafficServer();
 
     /// \return whether the address could be listened at.
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -35,7 +35,8 @@
     RequestKind crashingKind = RequestKind::Stream;
     CrashKind crashKind = CrashKind::CrashesFirst;
     std::uint32_t crashingRetries = 0; ///< of its caller, when told to come back
-    Duration prefillTime {0}; ///< of one prompt, one after another; 0: side by side, up to 0.4 s each
+    Duration prefillTime {
+        0}; ///< of one prompt, one after another; 0: side by side, up to 0.4 s each
     Duration maxWait {4'000'000}; ///< an engine whose work waits longer rejects
     Duration patience {2'000'000}; ///< callers leave after so long without an event
     Duration delistDelay {2'900'000}; ///< after which an engine that ended is no longer listed
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -338,8 +338,9 @@
             const LayerRange wanted = change.path[i].layers;
             if (!holdsPart(moved, i) || !hasRoom(moved, i))
                 return answer(false);
-            prefillMs += moved.context / m_service.model->prefillTokensPerMs * engine.kind->prefillFactor
-                      * (wanted.end - wanted.begin) / m_service.model->layers;
+            prefillMs += moved.context / m_service.model->prefillTokensPerMs
+                         * engine.kind->prefillFactor * (wanted.end - wanted.begin)
+                         / m_service.model->layers;
         }
         leave(*found);
         const auto id = static_cast<std::size_t>(found - m_runs.begin());
@@ -398,8 +399,8 @@
         run.attempt = send.attempt;
         run.path = send.path;
         const Caller &caller = m_callers[instance][send.flight];
-        run.made =
-            static_cast<std::uint32_t>(send.afterEvent.value_or(0)) * m_service.model->tokensPerPass;
+        run.made = static_cast<std::uint32_t>(send.afterEvent.value_or(0))
+                   * m_service.model->tokensPerPass;
         run.unread = caller.prompt + run.made;
         run.answer = caller.answer;
         for (const PathPart &part : send.path)
@@ -516,7 +517,8 @@
             } else {
                 share = std::max(share, part);
                 writerMs +=
-                    (model.perSequenceMs + run.context / 1000.0 * model.contextMsPer1kTokens) * part;
+                    (model.perSequenceMs + run.context / 1000.0 * model.contextMsPer1kTokens)
+                    * part;
             }
         }
         const double step = share * model.stepMs + writerMs;
@@ -809,12 +811,14 @@
     // run in a second, over those of one token with its share of the prompt.
     const LayeredModel &model = settings.model;
     const double context = (model.typicalPromptTokens + model.typicalAnswerTokens / 2.0) / 1000;
-    const double prompts = static_cast<double>(model.typicalPromptTokens) / std::max(1U, model.typicalAnswerTokens);
+    const double prompts =
+        static_cast<double>(model.typicalPromptTokens) / std::max(1U, model.typicalAnswerTokens);
     double perSecond = 0;
     for (const EmulatedGroup &group : settings.engines) {
         const AcceleratorKind &kind = *model.kind(group.kind);
-        const double tokenMs = (model.perSequenceMs + context * model.contextMsPer1kTokens) * kind.pace
-                               + prompts / model.prefillTokensPerMs * kind.prefillFactor;
+        const double tokenMs =
+            (model.perSequenceMs + context * model.contextMsPer1kTokens) * kind.pace
+            + prompts / model.prefillTokensPerMs * kind.prefillFactor;
         perSecond += group.count * 1000 / tokenMs;
     }
     return perSecond;
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -44,7 +44,10 @@
     void write() { m_writes.push_back(m_now); }
 
     /// For one instance alone.
-    void setStore(std::size_t instance, StoreBehavior behavior) { m_instances[instance].behavior = behavior; }
+    void setStore(std::size_t instance, StoreBehavior behavior)
+    {
+        m_instances[instance].behavior = behavior;
+    }
 
     /// Instances of a domain reach each other only, or all again.
     void partitionDomain(std::size_t domain, bool cut);
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -91,8 +91,8 @@
     return relay.submit(std::move(request), now, actions);
 }
 
-void RelayHarness::listInstances(const std::vector<PeerInstance> &instances, const std::string &self,
-                               Duration clock)
+void RelayHarness::listInstances(const std::vector<PeerInstance> &instances,
+                                 const std::string &self, Duration clock)
 {
     const auto own = std::find_if(instances.begin(), instances.end(),
                                   [&](const PeerInstance &each) { return each.name == self; });
@@ -115,7 +115,7 @@
 }
 
 bool RelayHarness::answer(FlightId flight, int status, bool provenExecuted, bool notExecuted,
-                        std::string_view at)
+                          std::string_view at)
 {
     AnswerHead head;
     head.status = status;
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -123,7 +123,7 @@
     }
 
     RouteMapPtr parseRouteTable(std::string_view body, std::vector<Reason> &leftOut,
-                           Reason &reason) const override
+                                Reason &reason) const override
     {
         const auto object = parsed(body, reason);
         if (!object)
@@ -217,7 +217,7 @@
         return status == 200 ? OrderReply::Taken : OrderReply::Refused;
     }
     std::pair<PathReply, std::string> parsePathReply(int status,
-                                                std::string_view /*body*/) const override
+                                                     std::string_view /*body*/) const override
     {
         return {status == 200   ? PathReply::Taken
                 : status == 409 ? PathReply::Refused
--- a/src/include/balsamloft/configexchange.h
+++ b/src/include/balsamloft/configexchange.h
@@ -20,6 +20,6 @@
 /// Takes an answer of a peer. What does not parse is ignored: the platform or
 /// another peer has it too.
 void applyConfigAnswer(ConfigManager &keeper, const PeerMessage &answer, Time now,
-                      ConfigActions &actions);
+                       ConfigActions &actions);
 
 } // namespace balsamloft
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -104,7 +104,7 @@
 
     /// \a leftOut: reasons for entries that could not be taken over.
     virtual RouteMapPtr parseRouteTable(std::string_view text, std::vector<Reason> &leftOut,
-                                   Reason &reason) const = 0;
+                                        Reason &reason) const = 0;
     /// An endpoint's entry under the name \a id. Nothing when another writer than
     /// an endpoint wrote it: a field is missing, of another type, or unknown.
     virtual std::optional<FleetEndpoint> endpoint(std::string_view id, std::string_view text,
@@ -118,7 +118,7 @@
 
     /// How an engine answered changePath(), and the address of the engine at fault.
     virtual std::pair<PathReply, std::string> parsePathReply(int status,
-                                                        std::string_view body) const = 0;
+                                                             std::string_view body) const = 0;
 
     /// Has the first engine of \a path carry the request with id \a request on along it.
     virtual OutgoingCall changePath(std::string_view request,
--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -68,7 +68,10 @@
     void orderSent(const LayerOrder &order, Time now) { m_orders.orderSent(order, now); }
 
     /// The engine did not take the order.
-    void orderRefused(const std::string &endpoint, Time now) { m_orders.orderRefused(endpoint, now); }
+    void orderRefused(const std::string &endpoint, Time now)
+    {
+        m_orders.orderRefused(endpoint, now);
+    }
 
     // Queries
 
--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -57,7 +57,10 @@
     void orderSent(const LayerOrder &order, Time now) { m_orders.orderSent(order, now); }
 
     /// The engine did not take the order.
-    void orderRefused(const std::string &endpoint, Time now) { m_orders.orderRefused(endpoint, now); }
+    void orderRefused(const std::string &endpoint, Time now)
+    {
+        m_orders.orderRefused(endpoint, now);
+    }
 
 private:
     /// An engine as the plan sees it.
@@ -96,11 +99,11 @@
     static std::vector<LayerOrder> tile(Group &group, const LayeredModel &model,
                                         const LayerPlannerSettings &settings,
                                         std::string_view reason);
-    static std::vector<std::vector<Engine *>> splitIntoReplicas(const std::vector<Engine *> &engines,
-                                                       double whole,
-                                                       const LayerPlannerSettings &settings);
-    static void assignLayers(const std::vector<Engine *> &cover, const LayeredModel &model, double room,
-                       std::string_view reason, std::vector<LayerOrder> &orders);
+    static std::vector<std::vector<Engine *>>
+    splitIntoReplicas(const std::vector<Engine *> &engines, double whole,
+                      const LayerPlannerSettings &settings);
+    static void assignLayers(const std::vector<Engine *> &cover, const LayeredModel &model,
+                             double room, std::string_view reason, std::vector<LayerOrder> &orders);
     void placeFree(Group &group, const LayeredModel &model, std::vector<LayerOrder> &orders);
     bool additionsCanClose(const Group &group, const LayeredModel &model) const;
     bool filledByOthers(const Group &group, Watch &watch, Time now) const;
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -241,7 +241,7 @@
 
     /// An engine did not answer QueryEngine; \a refused: nobody listens at its address.
     void queryFailed(const std::string &endpoint, Time now, RelayActions &actions,
-                      bool refused = false);
+                     bool refused = false);
 
     /// The endpoint answered a question that was sent at \a asked, whatever it said.
     void endpointAnswered(const std::string &endpoint, Time asked)
--- a/src/include/balsamloft/routing.h
+++ b/src/include/balsamloft/routing.h
@@ -79,11 +79,11 @@
 
     /// Builds the table of \a model as seen from an instance in \a domain.
     static CandidateTable forModel(const Config &config, const Model &model, const LoadView &loads,
-                               std::string_view domain);
+                                   std::string_view domain);
 
     /// As forModel(), for the endpoints of a plain service.
     static CandidateTable forService(const Config &config, const Service &service,
-                                 const LoadView &loads, std::string_view domain);
+                                     const LoadView &loads, std::string_view domain);
 
     /// The wanted version first.
     std::span<const VersionGroups> versions() const { return m_versions; }
@@ -105,8 +105,8 @@
 
     /// Fills \a chain with stages that cover all layers once, of one version,
     /// each with room for one more request. Returns false when there is none.
-    bool choose(const CandidateTable &table, const LoadView &loads, const RouteQuery &query, Time now,
-                Chain &chain);
+    bool choose(const CandidateTable &table, const LoadView &loads, const RouteQuery &query,
+                Time now, Chain &chain);
 
     /// Forgets latencies worked out from an earlier configuration.
     void setConfig(const Config &config, const LoadView &loads);
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -60,7 +60,7 @@
 }
 
 void ClaimManager::settle(ClaimOwner owner, ClaimOutcome end, const Answer &answer, Time now,
-                         ClaimActions &actions)
+                          ClaimActions &actions)
 {
     const auto it = m_won.find(owner);
     if (it == m_won.end())
@@ -144,7 +144,7 @@
 }
 
 void ClaimManager::transactionDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
-                                  ClaimActions &actions)
+                                   ClaimActions &actions)
 {
     const auto it = m_batches.find(id);
     if (it == m_batches.end())
@@ -284,7 +284,7 @@
 }
 
 void ClaimManager::readDone(std::uint64_t id, const ReadOutcome &outcome, Time now,
-                           ClaimActions &actions)
+                            ClaimActions &actions)
 {
     const auto read = m_reads.find(id);
     if (read == m_reads.end())
--- a/src/libbalsamloft/configexchange.cpp
+++ b/src/libbalsamloft/configexchange.cpp
@@ -38,7 +38,7 @@
 }
 
 void applyConfigAnswer(ConfigManager &keeper, const PeerMessage &answer, Time now,
-                      ConfigActions &actions)
+                       ConfigActions &actions)
 {
     Reason reason;
     if (answer.kind == PeerMessage::Kind::ConfigFull) {
--- a/src/libbalsamloft/configmanager.cpp
+++ b/src/libbalsamloft/configmanager.cpp
@@ -83,7 +83,7 @@
 }
 
 void ConfigManager::headRead(std::uint64_t id, const ReadOutcome &outcome, Time now,
-                            ConfigActions &actions)
+                             ConfigActions &actions)
 {
     if (id != m_headReadId)
         return;
@@ -120,7 +120,7 @@
 }
 
 void ConfigManager::snapshotRead(std::uint64_t id, const std::optional<std::string> &content,
-                                Time now, ConfigActions &actions)
+                                 Time now, ConfigActions &actions)
 {
     if (id != m_snapshotId)
         return;
@@ -134,7 +134,7 @@
 }
 
 void ConfigManager::changesScanned(std::uint64_t id, const ScanOutcome &outcome, Time now,
-                                  ConfigActions &actions)
+                                   ConfigActions &actions)
 {
     if (id != m_scanId)
         return;
@@ -163,7 +163,7 @@
 }
 
 void ConfigManager::peerHead(const std::string &peer, const ConfigHead &head, Time now,
-                            ConfigActions &actions)
+                             ConfigActions &actions)
 {
     if (head.version == m_head.version && head.version > 0 && head.digest != m_head.digest)
         ++m_forksSeen;
--- a/src/libbalsamloft/configproposals.cpp
+++ b/src/libbalsamloft/configproposals.cpp
@@ -7,7 +7,7 @@
 namespace balsamloft {
 
 void ConfigManager::propose(ConfigProposal proposal, WallMillis wallNow, Time now,
-                           ConfigActions &actions)
+                            ConfigActions &actions)
 {
     m_proposals.push_back({std::move(proposal), wallNow, 0, std::nullopt, false});
     if (m_proposals.size() > 1)
@@ -20,7 +20,7 @@
 }
 
 std::optional<ConfigEdits> ConfigManager::proposedEdits(const ConfigProposal &proposal,
-                                                       ProposalOutcome &outcome) const
+                                                        ProposalOutcome &outcome) const
 {
     const std::uint64_t base = proposal.baseVersion.value_or(m_head.version);
     if (proposal.rollbackTo) {
@@ -50,7 +50,7 @@
 }
 
 bool ConfigManager::rebase(ConfigEdits &edits, ProposalOutcome &outcome,
-                          std::uint64_t baseVersion) const
+                           std::uint64_t baseVersion) const
 {
     const auto since = changesAfter(baseVersion);
     if (!since) {
@@ -150,7 +150,7 @@
 }
 
 void ConfigManager::commitDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
-                              ConfigActions &actions)
+                               ConfigActions &actions)
 {
     if (id != m_commitId || m_proposals.empty() || !m_proposals.front().sent)
         return;
--- a/src/libbalsamloft/enginefleet.cpp
+++ b/src/libbalsamloft/enginefleet.cpp
@@ -158,7 +158,8 @@
     // them at once would leave nothing to route to, so they keep the time in
     // which the living write themselves down again; what is missing then, is
     // gone. One that was leaving has nothing to come back for.
-    const bool outage = m_outageEndedAt != Time {} && now - m_outageEndedAt < m_settings.recoveryTime;
+    const bool outage =
+        m_outageEndedAt != Time {} && now - m_outageEndedAt < m_settings.recoveryTime;
     if (outage && !it->second.endpoint.draining) {
         if (!it->second.forgetAt)
             it->second.forgetAt = m_outageEndedAt + m_settings.recoveryTime;
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -77,7 +77,9 @@
         return;
     if (now - each.pausedUntil > m_settings.maxBusyPause)
         each.consecutiveRefusals = 0;
-    each.pausedUntil = now + exponentialBackoff(m_settings.initialBusyPause, each.consecutiveRefusals, m_settings.maxBusyPause);
+    each.pausedUntil = now
+                       + exponentialBackoff(m_settings.initialBusyPause, each.consecutiveRefusals,
+                                            m_settings.maxBusyPause);
     each.consecutiveRefusals += 1;
 }
 
@@ -111,12 +113,14 @@
     each.answers = each.answers * kept + 1;
 }
 
-void EngineTracker::updateScale(const std::string &id, const std::string &domain, std::uint32_t running)
+void EngineTracker::updateScale(const std::string &id, const std::string &domain,
+                                std::uint32_t running)
 {
     const EngineEstimate *each = find(id);
     if (!each || each->ownStartingHere == 0)
         return;
-    const double ratio = std::clamp(static_cast<double>(running) / each->ownStartingHere, 1.0, MostScale);
+    const double ratio =
+        std::clamp(static_cast<double>(running) / each->ownStartingHere, 1.0, MostScale);
     const auto [it, fresh] = m_scales.try_emplace(domain, m_sharingInstances);
     it->second += ScaleWeight * (ratio - it->second);
 }
@@ -135,7 +139,8 @@
 
 } // namespace
 
-void EngineTracker::recordTransfer(const std::string &from, const std::string &to, double pipeMs, Time now)
+void EngineTracker::recordTransfer(const std::string &from, const std::string &to, double pipeMs,
+                                   Time now)
 {
     PipeUse &use = m_pipes[std::minmax(from, to)];
     use.ms = use.ms * pipeDecay(use.at, now) + pipeMs;
--- a/src/libbalsamloft/gapfiller.cpp
+++ b/src/libbalsamloft/gapfiller.cpp
@@ -38,8 +38,8 @@
         if (each.service != service.name || each.domain != domain || each.draining || !kind
             || silent.contains(each.id) || replaced.contains(each.id))
             continue;
-        const double room =
-            each.layers.length() > 0 ? m_settings.minEngineHeadroom : m_settings.emptyEngineHeadroom;
+        const double room = each.layers.length() > 0 ? m_settings.minEngineHeadroom
+                                                     : m_settings.emptyEngineHeadroom;
         const auto [layers, free] = m_orders.holding(each);
         found.push_back({&each, layers, service.model->maxLayers(*kind, room), free,
                          service.model->maxLayers(*kind, m_settings.beyondGapHeadroom)});
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -167,7 +167,8 @@
     /// Usual requests that \a engine has room for when it holds \a count layers.
     double fits(const Engine &engine, std::uint32_t count) const
     {
-        const double usual = std::max(1U, m_model.typicalPromptTokens + m_model.typicalAnswerTokens);
+        const double usual =
+            std::max(1U, m_model.typicalPromptTokens + m_model.typicalAnswerTokens);
         return m_model.room(*engine.kind, count) / count / usual
                * std::min(1.0, ReferencePace / engine.kind->pace);
     }
@@ -239,8 +240,8 @@
         splitIntoReplicas(engines, model.layers * model.layerMegabytes, settings);
     std::vector<LayerOrder> orders;
     for (const std::vector<Engine *> &cover : covers)
-        assignLayers(cover, model, covers.size() == 1 ? BareRoom : settings.minEngineHeadroom, reason,
-               orders);
+        assignLayers(cover, model, covers.size() == 1 ? BareRoom : settings.minEngineHeadroom,
+                     reason, orders);
     return orders;
 }
 
@@ -248,7 +249,7 @@
 /// left over and cannot hold the model stays out, to double single layers.
 std::vector<std::vector<LayerPlanner::Engine *>>
 LayerPlanner::splitIntoReplicas(const std::vector<Engine *> &engines, double whole,
-                       const LayerPlannerSettings &settings)
+                                const LayerPlannerSettings &settings)
 {
     std::vector<std::vector<Engine *>> covers;
     std::vector<Engine *> cover;
@@ -268,7 +269,8 @@
 }
 
 void LayerPlanner::assignLayers(const std::vector<Engine *> &cover, const LayeredModel &model,
-                          double room, std::string_view reason, std::vector<LayerOrder> &orders)
+                                double room, std::string_view reason,
+                                std::vector<LayerOrder> &orders)
 {
     std::vector<double> sizes;
     std::vector<std::uint32_t> most;
@@ -362,8 +364,8 @@
 {
     std::vector<GapFiller::Engine> engines;
     for (const Engine &each : group.engines)
-        engines.push_back({each.endpoint, each.layers, each.most(model, m_settings.minEngineHeadroom),
-                           each.movable});
+        engines.push_back({each.endpoint, each.layers,
+                           each.most(model, m_settings.minEngineHeadroom), each.movable});
     return GapFiller::canCloseAllGaps(std::move(engines), model.layers);
 }
 
@@ -396,8 +398,8 @@
         return;
     } else if (!watch.gapSince) {
         watch.gapSince = now;
-    } else if (now - *watch.gapSince
-               >= (additionsCanClose(group, model) ? m_settings.additionDelay : m_settings.gapDelay)) {
+    } else if (now - *watch.gapSince >= (additionsCanClose(group, model) ? m_settings.additionDelay
+                                                                         : m_settings.gapDelay)) {
         for (int moves = 0; moves < MostMoves && least() == 0; ++moves)
             if (!bestMove(group, model, GapCost / 2, orders, "nobody holds these layers"))
                 break;
--- a/src/libbalsamloft/lease.cpp
+++ b/src/libbalsamloft/lease.cpp
@@ -64,7 +64,7 @@
 }
 
 void LeaseManager::write(std::uint64_t version, std::uint64_t fencing, bool release, Time now,
-                        LeaseActions &actions)
+                         LeaseActions &actions)
 {
     m_write = Write {m_nextId++, version, fencing, now, release};
     Transaction transaction;
@@ -91,7 +91,7 @@
 }
 
 void LeaseManager::writeDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
-                            LeaseActions &actions)
+                             LeaseActions &actions)
 {
     if (!m_write || m_write->id != id)
         return;
@@ -118,7 +118,7 @@
 }
 
 void LeaseManager::readDone(std::uint64_t id, const ReadOutcome &outcome, Time now,
-                           LeaseActions &actions)
+                            LeaseActions &actions)
 {
     if (id != m_readId || outcome.kind == ReadOutcome::Kind::Unavailable)
         return;
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -109,8 +109,9 @@
     // again and again.
     EndpointState &state = m_states[id];
     state.window = state.own > 0 ? state.own - 1 : 0; // the one refused is still counted
-    state.pausedUntil =
-        now + exponentialBackoff(m_settings.initialBusyPause, state.consecutiveRefusals++, m_settings.maxBusyPause);
+    state.pausedUntil = now
+                        + exponentialBackoff(m_settings.initialBusyPause,
+                                             state.consecutiveRefusals++, m_settings.maxBusyPause);
 }
 
 void LoadView::accepted(EndpointId id)
--- a/src/libbalsamloft/orders.cpp
+++ b/src/libbalsamloft/orders.cpp
@@ -38,7 +38,7 @@
 }
 
 void OrderManager::tick(bool holds, std::uint64_t fencing, Time acquiredAt, Time now,
-                       OrderActions &actions)
+                        OrderActions &actions)
 {
     // The lease is looked at in the same step as the order is made: a holder
     // that was paused past its lease finds out here and says nothing.
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -265,18 +265,20 @@
         candidate.endpoint = &each;
         candidate.mayBegin = !query.excludedAsFirst || !query.excludedAsFirst->contains(each.id);
         // What runs goes on growing; what waits takes its place first.
-        const double growth = load.reported
-                                  ? (load.streams * model.typicalAnswerTokens / 2
-                                     + load.queued * (model.typicalPromptTokens + model.typicalAnswerTokens))
-                                        * held
-                                  : 0;
+        const double growth =
+            load.reported
+                ? (load.streams * model.typicalAnswerTokens / 2
+                   + load.queued * (model.typicalPromptTokens + model.typicalAnswerTokens))
+                      * held
+                : 0;
         candidate.fullness = (load.used + growth + need) / room;
-        candidate.full =
-            candidate.fullness > (load.reported ? settings.maxReportedFullness : settings.maxEstimatedFullness);
+        candidate.full = candidate.fullness > (load.reported ? settings.maxReportedFullness
+                                                             : settings.maxEstimatedFullness);
         candidate.prefillMs = model.prefillMs(*kind, query.promptTokens, 1);
         candidate.passMs = model.tokensPerPass * step * pace / model.layers;
-        candidate.factor = 1 + settings.fullnessWeight * std::pow(std::min(candidate.fullness, 3.0), 4)
-                           + 2 * book.failureShare(each.id, now);
+        candidate.factor =
+            1 + settings.fullnessWeight * std::pow(std::min(candidate.fullness, 3.0), 4)
+            + 2 * book.failureShare(each.id, now);
         found.push_back(candidate);
     }
     return found;
@@ -296,16 +298,16 @@
 }
 
 std::optional<EnginePath> PathChooser::choose(const FleetSnapshot &fleet,
-                                              const RoutedService &service, const EngineTracker &book,
-                                              const PathQuery &query, Time now,
-                                              std::mt19937_64 &random) const
+                                              const RoutedService &service,
+                                              const EngineTracker &book, const PathQuery &query,
+                                              Time now, std::mt19937_64 &random) const
 {
     const LayeredModel &model = *service.model;
     const double passes =
         std::max(1.0, static_cast<double>(query.answerTokens) / std::max(1U, model.tokensPerPass));
     const double hopCost = m_settings.hopMs * passes;
-    std::lognormal_distribution<double> noise(0,
-                                              std::max(spread(book.sharingInstances()), query.minCostNoise));
+    std::lognormal_distribution<double> noise(
+        0, std::max(spread(book.sharingInstances()), query.minCostNoise));
     std::vector<Candidate> all = candidates(fleet, service, book, query, now, m_settings);
     for (Candidate &each : all)
         each.factor *= noise(random);
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -74,7 +74,8 @@
     if (now < seen.unresponsiveUntil)
         return;
     seen.unresponsiveUntil =
-        now + (m_told ? exponentialBackoff(SilentFor, seen.timeouts, MostSilentFor) : SilentAtStart);
+        now
+        + (m_told ? exponentialBackoff(SilentFor, seen.timeouts, MostSilentFor) : SilentAtStart);
     seen.timeouts += 1;
 }
 
--- a/src/libbalsamloft/placementmanager.cpp
+++ b/src/libbalsamloft/placementmanager.cpp
@@ -37,7 +37,7 @@
 }
 
 std::vector<std::string> PlacementManager::placeableEngines(const Config &config,
-                                                           std::string_view domain)
+                                                            std::string_view domain)
 {
     std::vector<std::string> names;
     for (const Endpoint &endpoint : config.endpoints()) {
@@ -55,8 +55,8 @@
 }
 
 void PlacementManager::tick(const Config &config, const ConfigEntries &entries,
-                           const LeaseView &lease, const DemandFunction &demand, Time now,
-                           OrderActions &orders, std::vector<ProposePlacement> &proposals)
+                            const LeaseView &lease, const DemandFunction &demand, Time now,
+                            OrderActions &orders, std::vector<ProposePlacement> &proposals)
 {
     if (!lease.holds) {
         m_loading.clear();
@@ -153,7 +153,7 @@
 }
 
 void PlacementManager::proposeLoaded(const ConfigEntries &entries,
-                                    std::vector<ProposePlacement> &proposals)
+                                     std::vector<ProposePlacement> &proposals)
 {
     for (auto it = m_loading.begin(); it != m_loading.end(); ++it) {
         const std::vector<Assignment> &parts = it->second.parts;
@@ -184,7 +184,7 @@
 }
 
 void PlacementManager::proposeUnload(const ConfigEntries &entries,
-                                    std::vector<ProposePlacement> &proposals)
+                                     std::vector<ProposePlacement> &proposals)
 {
     ProposePlacement proposal;
     for (auto it = m_unloading.begin(); it != m_unloading.end();) {
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -66,7 +66,8 @@
 // does not grow with the fleet, and all know of its return within two seconds.
 TEST_CASE("the store's calls do not grow with the number of instances")
 {
-    const StoreBehavior behavior = GENERATE(StoreBehavior::Healthy, StoreBehavior::Refusing, StoreBehavior::Silent);
+    const StoreBehavior behavior =
+        GENERATE(StoreBehavior::Healthy, StoreBehavior::Refusing, StoreBehavior::Silent);
     std::vector<double> rates;
     for (const std::size_t instances : {30U, 100U, 300U, 340U}) {
         PropagationEmulator fleet(fleetOf(instances));
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -255,7 +255,8 @@
         return false;
     const auto open = std::count_if(it->second.begin(), it->second.end(), [&](const auto &each) {
         const Crash &crash = each.second;
-        const bool silent = crash.sign == Sign::Stalled && now - crash.at >= m_settings.stallQueryWindow;
+        const bool silent =
+            crash.sign == Sign::Stalled && now - crash.at >= m_settings.stallQueryWindow;
         return crash.stage == Stage::Doubtful && crash.sign != Sign::GivenUp && !silent;
     });
     return open > 0 && static_cast<std::size_t>(open) + crashes(digest, now) > 1;
@@ -367,8 +368,9 @@
 std::size_t Quarantine::quarantinedCount(Time now) const
 {
     return static_cast<std::size_t>(
-        std::count_if(m_requests.begin(), m_requests.end(),
-                      [&](const auto &each) { return verdict(each.first, now) == Verdict::Quarantined; }));
+        std::count_if(m_requests.begin(), m_requests.end(), [&](const auto &each) {
+            return verdict(each.first, now) == Verdict::Quarantined;
+        }));
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -62,7 +62,8 @@
     Quarantine quarantine;
     quarantine.attemptAbandoned("bad", "e1", Start);
     quarantine.attemptAbandoned("earlier", "e1", Start - milliseconds(300));
-    CHECK(quarantine.unconfirmedEndpoints(Start + milliseconds(100)) == std::vector<std::string> {"e1"});
+    CHECK(quarantine.unconfirmedEndpoints(Start + milliseconds(100))
+          == std::vector<std::string> {"e1"});
     endUnder(quarantine, "e1", {"beside"}, Start + milliseconds(50));
     CHECK(quarantine.crashes("bad", Start + milliseconds(50)) == 1);
     CHECK(quarantine.crashes("earlier", Start + milliseconds(50)) == 0);
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -424,7 +424,8 @@
             Duration(static_cast<std::int64_t>(m_settings.retryAfter.count() * spread(m_random))));
     }
     std::uint64_t RelayCounts::*const counters[] = {&RelayCounts::notRun, &RelayCounts::failed,
-                                                    &RelayCounts::timedOut, &RelayCounts::truncated};
+                                                    &RelayCounts::timedOut,
+                                                    &RelayCounts::truncated};
     m_counts.*counters[static_cast<std::size_t>(how)] += 1;
     m_flights.erase(it);
     actions.push_back(FinishFlight {id, how, wait, std::move(reason)});
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -135,7 +135,8 @@
     trial.endpoint = send.endpoint;
     trial.first = send.path.empty() ? std::nullopt : std::make_optional(send.path.front());
     const std::string &digest = flight.request.digest;
-    const bool limited = m_quarantine.crashes(digest, now) >= m_quarantine.settings().crashesToQuarantine;
+    const bool limited =
+        m_quarantine.crashes(digest, now) >= m_quarantine.settings().crashesToQuarantine;
     actions.push_back(RequestTrial {id, {digest, send.endpoint, limited}});
     return true;
 }
@@ -183,8 +184,8 @@
                     RelayActions &actions)
 {
     const bool held = m_quarantine.verdict(flight.request.digest, now) == Verdict::Quarantined;
-    std::uniform_int_distribution<std::int64_t> spread(0,
-                                                       m_quarantine.settings().propagationDelay.count());
+    std::uniform_int_distribution<std::int64_t> spread(
+        0, m_quarantine.settings().propagationDelay.count());
     m_counts.quarantined += 1;
     end(id, endOf(flight, FlightOutcome::Failed),
         held ? "held back: endpoints ended under it" : "endpoints ended under it; not tried now",
@@ -201,7 +202,8 @@
     const bool begun = flight.firstEventAt.has_value();
     if (m_quarantine.verdict(digest, now) == Verdict::TrialOnly
         && flight.trial.state != Trial::State::Sent
-        && (begun || m_quarantine.crashes(digest, now) < m_quarantine.settings().crashesToRequireTrial))
+        && (begun
+            || m_quarantine.crashes(digest, now) < m_quarantine.settings().crashesToRequireTrial))
         return false;
     actions.push_back(AbandonAttempt {id, flight.attempt});
     noteGivenUp(flight, now);
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -1,10 +1,10 @@
 // What an entry instance knows, and how old that is.
 
-#include <balsamloft/pollschedule.h>
 #include <balsamloft/enginefleet.h>
 #include <balsamloft/eventsplitter.h>
 #include <balsamloft/instancelist.h>
 #include <balsamloft/peerdirectory.h>
+#include <balsamloft/pollschedule.h>
 #include <balsamloft/readfreshness.h>
 #include <balsamloft/routemap.h>
 #include <balsamloft/tablecopy.h>
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -102,13 +102,14 @@
     const double expected = micros(
         state.stepTime > Duration::zero() ? state.stepTime : m_settings.routing.defaultStepTime);
     if (!flight.prefillPass)
-        return std::max(m_settings.minStepTimeout,
-                        Duration(static_cast<std::int64_t>(m_settings.stepTimeoutFactor * expected)));
+        return std::max(m_settings.minStepTimeout, Duration(static_cast<std::int64_t>(
+                                                       m_settings.stepTimeoutFactor * expected)));
     const auto inputTokens =
         static_cast<double>(promptTokens(flight.request) + flight.tokens.size());
     const double prefill = inputTokens * micros(m_settings.routing.prefillPerToken) / state.speed;
-    return std::max(m_settings.minPrefillTimeout, Duration(static_cast<std::int64_t>(
-                                                 m_settings.stepTimeoutFactor * (expected + prefill))));
+    return std::max(
+        m_settings.minPrefillTimeout,
+        Duration(static_cast<std::int64_t>(m_settings.stepTimeoutFactor * (expected + prefill))));
 }
 
 void Router::Impl::sendStep(Flight &flight, std::string input, Time now, Actions &actions)
@@ -270,8 +271,8 @@
     if (flight.state == FlightState::Running)
         cancelStages(flight, NoEndpoint, actions);
     if (flight.claimed)
-        actions.push_back(
-            ResolveClaim {id, ran == Executed::No ? ClaimOutcome::NotExecuted : ClaimOutcome::Unknown, {}});
+        actions.push_back(ResolveClaim {
+            id, ran == Executed::No ? ClaimOutcome::NotExecuted : ClaimOutcome::Unknown, {}});
     target.queue.remove(id);
     release(flight, now);
     remove(flight);
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -73,7 +73,7 @@
 } // namespace
 
 void CandidateTable::add(const Endpoint &endpoint, const LoadView &loads, const LayerRange &layers,
-                     std::uint32_t modelLayers)
+                         std::uint32_t modelLayers)
 {
     auto version = std::find_if(m_versions.begin(), m_versions.end(), [&](const auto &candidate) {
         return candidate.version == endpoint.version;
@@ -88,7 +88,7 @@
 }
 
 void CandidateTable::finish(const Config &config, const LoadView &loads, std::string_view domain,
-                        std::string_view wantedVersion, std::uint32_t alertEndpoints)
+                            std::string_view wantedVersion, std::uint32_t alertEndpoints)
 {
     for (VersionGroups &version : m_versions) {
         std::sort(version.groups.begin(), version.groups.end(),
@@ -111,8 +111,8 @@
     });
 }
 
-CandidateTable CandidateTable::forModel(const Config &config, const Model &model, const LoadView &loads,
-                                std::string_view domain)
+CandidateTable CandidateTable::forModel(const Config &config, const Model &model,
+                                        const LoadView &loads, std::string_view domain)
 {
     CandidateTable table;
     for (const Endpoint &endpoint : config.endpoints()) {
@@ -124,7 +124,7 @@
 }
 
 CandidateTable CandidateTable::forService(const Config &config, const Service &service,
-                                  const LoadView &loads, std::string_view domain)
+                                          const LoadView &loads, std::string_view domain)
 {
     CandidateTable table;
     for (const Endpoint &endpoint : config.endpoints()) {
@@ -149,8 +149,8 @@
         m_latency[loads.find(endpoint.name)] = config.latency(m_domain, endpoint.domain);
 }
 
-bool ChainChooser::choose(const CandidateTable &table, const LoadView &loads, const RouteQuery &query,
-                          Time now, Chain &chain)
+bool ChainChooser::choose(const CandidateTable &table, const LoadView &loads,
+                          const RouteQuery &query, Time now, Chain &chain)
 {
     for (const CandidateTable::VersionGroups &version : table.versions()) {
         if (chooseVersion(version, loads, query, now, chain))
@@ -163,8 +163,9 @@
     return choose(table, loads, anyEndpoint, now, chain);
 }
 
-bool ChainChooser::chooseVersion(const CandidateTable::VersionGroups &version, const LoadView &loads,
-                                 const RouteQuery &query, Time now, Chain &chain)
+bool ChainChooser::chooseVersion(const CandidateTable::VersionGroups &version,
+                                 const LoadView &loads, const RouteQuery &query, Time now,
+                                 Chain &chain)
 {
     static constexpr PickFunction Pickers[] = {
         &ChainChooser::pickDefault,     &ChainChooser::pickRandom,    &ChainChooser::pickRoundRobin,
@@ -224,12 +225,12 @@
 
 bool ChainChooser::mayUse(const Decision &decision, EndpointId id) const
 {
-    const bool kept =
-        decision.query.priority != Priority::Alert
-        && std::find(decision.group.reservedForAlerts.begin(), decision.group.reservedForAlerts.end(), id)
-               != decision.group.reservedForAlerts.end();
-    return !kept && id != decision.query.avoid && decision.loads.usable(id) && hasFreeSlot(decision, id)
-           && inTime(decision, id);
+    const bool kept = decision.query.priority != Priority::Alert
+                      && std::find(decision.group.reservedForAlerts.begin(),
+                                   decision.group.reservedForAlerts.end(), id)
+                             != decision.group.reservedForAlerts.end();
+    return !kept && id != decision.query.avoid && decision.loads.usable(id)
+           && hasFreeSlot(decision, id) && inTime(decision, id);
 }
 
 double ChainChooser::cost(const Decision &decision, EndpointId id, bool byAffinity) const
@@ -283,8 +284,8 @@
     for (std::size_t i = 0; i < members.size(); ++i) {
         const EndpointId id = members[(offset + i) % members.size()];
         const EndpointState &state = decision.loads.state(id);
-        if (id != decision.query.avoid && state.configured && !state.leaving && !state.reportedLeaving
-            && hasFreeSlot(decision, id))
+        if (id != decision.query.avoid && state.configured && !state.leaving
+            && !state.reportedLeaving && hasFreeSlot(decision, id))
             return {id, cost(decision, id, false), false};
     }
     return {};
--- a/testsuite/cost/main.cpp
+++ b/testsuite/cost/main.cpp
@@ -37,9 +37,9 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using namespace balsamloft::soak;
+using balsamloft::testsuite::completeAnswer;
 using balsamloft::testsuite::exchange;
 using balsamloft::testsuite::freeAddress;
-using balsamloft::testsuite::completeAnswer;
 
 namespace {
 
--- a/testsuite/entry/entry_test.cpp
+++ b/testsuite/entry/entry_test.cpp
@@ -222,7 +222,8 @@
 {
     EntryHarness entry;
     RawServer old([](const std::string &request) { return RawAnswer {okAnswer(request, "old")}; });
-    RawServer fresh([](const std::string &request) { return RawAnswer {okAnswer(request, "new")}; });
+    RawServer fresh(
+        [](const std::string &request) { return RawAnswer {okAnswer(request, "new")}; });
     entry.endpoint("old", "plain", old.address());
     CHECK(entry.answersWith("/safe/x", "old"));
     entry.endpoint("fresh", "plain", fresh.address());
--- a/testsuite/entry/entryharness.h
+++ b/testsuite/entry/entryharness.h
@@ -175,7 +175,7 @@
     }
 
     std::string post(const std::string &path, const std::string &key = "good-key",
-                    const std::string &more = "") const
+                     const std::string &more = "") const
     {
         return exchange(callers,
                         "POST " + path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: r1\r\nTeam-Key: "
@@ -187,7 +187,7 @@
     /// Asks until the answer ends with \a end: on a busy machine a call may be
     /// given up and refused as not run.
     bool answersWith(const std::string &path, const std::string &end,
-                const std::string &key = "good-key") const
+                     const std::string &key = "good-key") const
     {
         return waitUntil([&] { return post(path, key).ends_with(end); });
     }
