--- a/src/entry/tablesource.cpp
+++ b/src/entry/tablesource.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// Beyond the time that was asked to wait, a call whose answer has not begun has failed.
-constexpr Duration StoreWithin {500'000};
-/// What one instance knew when it last told, another may know so much later.
-constexpr Duration ReportsOverlap {2'000'000};
+/// A call fails if its answer has not begun this long after the requested wait.
+constexpr Duration StoreResponseTimeout {500'000};
+/// Another instance may receive the same engine state this much later.
+constexpr Duration ReportOverlap {2'000'000};
 
 CallLimits storeLimits(Duration wait)
 {
     CallLimits limits = answerLimits(false, wait);
-    limits.within = wait + StoreWithin;
+    limits.within = wait + StoreResponseTimeout;
     return limits;
 }
 
@@ -34,27 +34,27 @@
 
 void StoreSource::read(const std::string &from, Duration /*wait*/, Callback callback)
 {
-    m_channel.call(StoreUse::ReadSnapshot, m_protocol.read(m_table, from), storeLimits({}),
+    m_channel.call(StoreUse::ReadSnapshot, m_protocol.readCall(m_table, from), storeLimits({}),
                    [this, callback = std::move(callback)](StoreAnswer answer) {
-                       pass(std::move(answer), callback);
+                       deliver(std::move(answer), callback);
                    });
 }
 
 void StoreSource::watch(std::uint64_t after, Duration wait, Callback callback)
 {
-    m_channel.call(StoreUse::Follow, m_protocol.watch(m_table, after, wait), storeLimits(wait),
+    m_channel.call(StoreUse::Follow, m_protocol.watchCall(m_table, after, wait), storeLimits(wait),
                    [this, callback = std::move(callback)](StoreAnswer answer) {
-                       pass(std::move(answer), callback);
+                       deliver(std::move(answer), callback);
                    });
 }
 
-void StoreSource::pass(StoreAnswer answer, const Callback &callback)
+void StoreSource::deliver(StoreAnswer answer, const Callback &callback)
 {
     TableAnswer result;
     if (answer.reply.kind == StoreReply::Kind::Done) {
         m_freshness.answered(answer.sentAt, answer.arrivedAt, answer.reply.storeMs);
         result.knownAt = m_freshness.knownAt();
-        result.direct = true;
+        result.fromStore = true;
     }
     result.answered = answer.reply.kind != StoreReply::Kind::Failed;
     result.reply = std::move(answer.reply);
@@ -62,11 +62,11 @@
 }
 
 PeerSource::PeerSource(boost::asio::io_context &context, PeerInstance peer, std::size_t table,
-                       std::shared_ptr<Time> reportsAt)
+                       std::shared_ptr<Time> lastReportAt)
     : m_pool(context)
     , m_peer(std::move(peer))
     , m_table(table)
-    , m_reportsAt(std::move(reportsAt))
+    , m_lastReportAt(std::move(lastReportAt))
 {
 }
 
@@ -78,15 +78,15 @@
 
 void PeerSource::read(const std::string & /*from*/, Duration wait, Callback callback)
 {
-    ask(0, wait, std::move(callback));
+    sendQuery(0, wait, std::move(callback));
 }
 
 void PeerSource::watch(std::uint64_t after, Duration wait, Callback callback)
 {
-    ask(after, wait, std::move(callback));
+    sendQuery(after, wait, std::move(callback));
 }
 
-void PeerSource::ask(std::uint64_t after, Duration wait, Callback callback)
+void PeerSource::sendQuery(std::uint64_t after, Duration wait, Callback callback)
 {
     ExchangeSettings settings;
     settings.endpoint = m_peer.name;
@@ -94,8 +94,9 @@
     const Time sentAt = bootNow();
     m_call = std::make_shared<TimedCall>(
         m_pool, std::move(settings),
-        formatRequest({"GET", updateTarget({m_table, after, wait, m_toldMs, changedWithin()}), {}},
-                      m_peer.address),
+        formatRequest(
+            {"GET", updateTarget({m_table, after, wait, m_statesUntilMs, changedWithin()}), {}},
+            m_peer.address),
         answerLimits(after == 0, wait),
         [this, sentAt, callback = std::move(callback)](const CallOutcome &outcome) {
             callback(decode(outcome, sentAt));
@@ -103,48 +104,48 @@
     m_call->start();
 }
 
-/// All states are told once to each instance: told again by each other one that it turns
-/// to, they fill the links just when many turn to others.
+/// The age limit of engine states to query. A follower that switches to another peer does not query
+/// all states again: that would exceed the bandwidth when many followers switch at once.
 Duration PeerSource::changedWithin() const
 {
-    if (*m_reportsAt == Time {})
+    if (*m_lastReportAt == Time {})
         return {};
-    return steadyNow() - *m_reportsAt + ReportsOverlap;
+    return steadyNow() - *m_lastReportAt + ReportOverlap;
 }
 
 TableAnswer PeerSource::decode(const CallOutcome &outcome, Time sentAt)
 {
     TableAnswer answer;
-    wire::TableNews news;
+    wire::TableNews update;
     answer.answered = outcome.status != 0;
-    if (outcome.status != 200 || !news.ParseFromString(outcome.body))
+    if (outcome.status != 200 || !update.ParseFromString(outcome.body))
         return answer;
     const Time now = bootNow();
-    // The other's clock bounds its answer as the store's does; what it knows is
-    // older than the answer by its own account.
-    m_freshness.answered(sentAt, now, static_cast<std::int64_t>(news.clock_ms()));
-    const auto age = Duration((news.clock_ms() - news.known_ms()) * 1000);
+    // The time of the answer is estimated from the clock of the peer as for the store. The data is
+    // older than the answer by the age that the peer reports.
+    m_freshness.answered(sentAt, now, static_cast<std::int64_t>(update.clock_ms()));
+    const auto age = Duration((update.clock_ms() - update.known_ms()) * 1000);
     answer.knownAt = *m_freshness.knownAt() - age;
     answer.reply.kind = StoreReply::Kind::Done;
-    answer.reply.version = news.version();
-    answer.reply.storeMs = static_cast<std::int64_t>(news.store_ms());
-    answer.whole = news.whole();
-    answer.direct = news.direct();
-    m_toldMs = news.told_ms();
-    if (!news.packed_rows().empty()) {
-        auto rows = decompressRows({news.packed_from(), news.packed_rows()});
+    answer.reply.version = update.version();
+    answer.reply.storeMs = static_cast<std::int64_t>(update.store_ms());
+    answer.isSnapshot = update.whole();
+    answer.fromStore = update.direct();
+    m_statesUntilMs = update.told_ms();
+    if (!update.packed_rows().empty()) {
+        auto rows = decompressRows({update.packed_from(), update.packed_rows()});
         if (!rows)
             return {};
         answer.reply.rows = std::move(*rows);
     }
-    for (const wire::NewsRow &row : news.rows())
+    for (const wire::NewsRow &row : update.rows())
         answer.reply.rows.push_back(rowOf(row));
     const Time steady = steadyNow();
-    if (news.domains_size() > 0)
-        *m_reportsAt = steady;
-    for (const wire::DomainNews &domain : news.domains())
+    if (update.domains_size() > 0)
+        *m_lastReportAt = steady;
+    for (const wire::DomainNews &domain : update.domains())
         answer.engines.asOf[domain.domain()] = steady - Duration(domain.age_ms() * 1000);
-    for (const wire::EngineNews &engine : news.engines())
+    for (const wire::EngineNews &engine : update.engines())
         answer.engines.changed.push_back(
             {engine.id(), engine.used(), engine.active(), engine.queued(), engine.pace(),
              engine.silent(), steady - Duration(engine.age_ms() * 1000) - (now - sentAt) / 8});
--- a/src/entry/tablesource.h
+++ b/src/entry/tablesource.h
@@ -1,5 +1,5 @@
 /// \file
-/// Where a table is read from: the store itself, or another instance.
+/// Sources that a table is read from: the store, or another instance.
 
 #pragma once
 
@@ -10,24 +10,24 @@
 
 namespace balsamloft {
 
-/// An answer about a table.
+/// An answer of a source.
 struct TableAnswer
 {
     StoreReply reply;
-    bool answered = false; ///< the one that was asked said something
-    bool whole = false; ///< the rows are all of the table, in answer to a watch
-    std::optional<Time> knownAt; ///< complete as of then; on the clock that counts suspension
-    bool direct = false; ///< the store's own answer, or that of one that had it from the store
-    EngineReports engines; ///< told along by another instance
+    bool answered = false; ///< the source sent an answer, usable or not
+    bool isSnapshot = false; ///< a watch() was answered with all rows of the table
+    std::optional<Time> knownAt; ///< complete as of this time of bootNow()
+    bool fromStore = false; ///< from the store, or from an instance that last read from it
+    EngineReports engines; ///< engine states that another instance sent along
 
-    /// How old what was told is at \a now; none when that was not told.
+    /// Age of the answer at \a now; 0 if unknown.
     Duration age(Time now) const
     {
         return knownAt ? std::max(Duration {}, now - *knownAt) : Duration {};
     }
 };
 
-/// Reads one table.
+/// A source of one table.
 class TableSource
 {
 public:
@@ -35,48 +35,48 @@
 
     virtual ~TableSource() = default;
 
-    /// Name of the instance that is asked; empty: the store.
+    /// Name of the instance that is queried; empty: the store.
     virtual const std::string &peer() const = 0;
 
     bool isStore() const { return peer().empty(); }
 
-    /// A page of the rows from the key \a from on; another instance that knows none
-    /// yet may take \a wait until it does.
+    /// Reads a page of rows from the key \a from on. Another instance that has no data yet
+    /// waits up to \a wait for it.
     virtual void read(const std::string &from, Duration wait, Callback callback) = 0;
 
-    /// Changes after a version, once there are any or \a wait is over.
+    /// Reads the changes after the version \a after, as soon as there are any or after \a wait.
     virtual void watch(std::uint64_t after, Duration wait, Callback callback) = 0;
 };
 
-/// The store itself.
+/// Reads from the store.
 class StoreSource : public TableSource
 {
 public:
     StoreSource(boost::asio::io_context &context, const std::string &address,
                 const EntryProtocol &protocol, EntryState &state, std::string table);
 
-    const std::string &peer() const override { return m_nobody; }
+    const std::string &peer() const override { return m_noPeer; }
     void read(const std::string &from, Duration wait, Callback callback) override;
     void watch(std::uint64_t after, Duration wait, Callback callback) override;
 
 private:
-    void pass(StoreAnswer answer, const Callback &callback);
+    void deliver(StoreAnswer answer, const Callback &callback);
 
     const EntryProtocol &m_protocol;
     std::string m_table;
-    std::string m_nobody;
+    std::string m_noPeer;
     StoreChannel m_channel;
     ReadFreshness m_freshness;
 };
 
-/// Another instance that follows the same table.
+/// Reads from another instance that replicates the table.
 class PeerSource : public TableSource
 {
 public:
-    /// \a table: which of the tables that instances tell each other of. \a reportsAt: when
-    /// any of the sources told states of engines last; never: the beginning of time.
+    /// \a table: a SharedTable. \a lastReportAt: when any of the sources that share it last sent
+    /// engine states; default: never.
     PeerSource(boost::asio::io_context &context, PeerInstance peer, std::size_t table,
-               std::shared_ptr<Time> reportsAt);
+               std::shared_ptr<Time> lastReportAt);
     ~PeerSource() override;
 
     const std::string &peer() const override { return m_peer.name; }
@@ -85,7 +85,7 @@
     void watch(std::uint64_t after, Duration wait, Callback callback) override;
 
 private:
-    void ask(std::uint64_t after, Duration wait, Callback callback);
+    void sendQuery(std::uint64_t after, Duration wait, Callback callback);
     TableAnswer decode(const CallOutcome &outcome, Time sentAt);
     Duration changedWithin() const;
 
@@ -93,8 +93,8 @@
     PeerInstance m_peer;
     std::size_t m_table;
     ReadFreshness m_freshness;
-    std::shared_ptr<Time> m_reportsAt;
-    std::uint64_t m_toldMs = 0; ///< up to when it told of engines, on its own clock
+    std::shared_ptr<Time> m_lastReportAt;
+    std::uint64_t m_statesUntilMs = 0; ///< time of the peer up to which it has sent engine states
     std::shared_ptr<TimedCall> m_call;
 };
 
--- a/src/entry/timedcall.cpp
+++ b/src/entry/timedcall.cpp
@@ -8,7 +8,7 @@
                      CallLimits limits, Callback callback)
     : m_timer(pool.context())
     , m_limits(limits)
-    , m_onlyConnects(request.empty())
+    , m_connectOnly(request.empty())
     , m_callback(std::move(callback))
     , m_exchange(std::make_shared<Exchange>(pool, std::move(settings), std::move(request)))
 {
@@ -23,11 +23,11 @@
 
 void TimedCall::armTimer()
 {
-    m_timer.expires_after(end() - steadyNow());
+    m_timer.expires_after(deadline() - steadyNow());
     m_timer.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
-        if (error || self->m_over)
+        if (error || self->m_finished)
             return;
-        if (steadyNow() < self->end())
+        if (steadyNow() < self->deadline())
             return self->armTimer();
         self->m_exchange->cancel();
         self->finish();
@@ -36,15 +36,15 @@
 
 void TimedCall::cancel()
 {
-    m_over = true;
+    m_finished = true;
     m_timer.cancel();
     m_exchange->cancel();
 }
 
 bool TimedCall::maySend()
 {
-    m_outcome.left = true;
-    if (!m_onlyConnects)
+    m_outcome.mayHaveArrived = true;
+    if (!m_connectOnly)
         return true;
     m_exchange->cancel();
     finish();
@@ -53,18 +53,18 @@
 
 bool TimedCall::headReceived(MessageReader & /*answer*/)
 {
-    m_readAt = steadyNow();
+    m_lastReadAt = steadyNow();
     return true;
 }
 
 void TimedCall::bodyReceived(MessageReader & /*answer*/)
 {
-    m_readAt = steadyNow();
+    m_lastReadAt = steadyNow();
 }
 
 void TimedCall::exchangeFailed(AttemptFailure /*failure*/)
 {
-    m_outcome.refused = m_exchange->refused();
+    m_outcome.connectionRefused = m_exchange->connectionRefused();
     finish();
 }
 
@@ -77,7 +77,7 @@
 
 void TimedCall::finish()
 {
-    if (std::exchange(m_over, true))
+    if (std::exchange(m_finished, true))
         return;
     const auto self = shared_from_this();
     m_timer.cancel();
--- a/src/entry/timedcall.h
+++ b/src/entry/timedcall.h
@@ -1,5 +1,5 @@
 /// \file
-/// One call to another process, with a time limit.
+/// An HTTP call to another process with time limits.
 
 #pragma once
 
@@ -12,17 +12,18 @@
 
 namespace balsamloft {
 
-/// What became of a call.
+/// The result of a call.
 struct CallOutcome
 {
     int status = 0; ///< 0: no answer
     std::string body;
-    bool left = false; ///< it may have arrived
-    bool refused = false; ///< nobody listens at the address
+    bool mayHaveArrived = false; ///< the request may have reached the other process
+    bool connectionRefused = false; ///< no process listens at the address
 };
 
-/// Sends one request, and gives the whole answer, or none, to a callback. An empty
-/// request only opens a connection: it counts as left once that is open.
+/// Sends one request and passes the complete answer, or a failure, to a callback. An empty
+/// request only tests whether a connection can be opened; CallOutcome::mayHaveArrived is then
+/// set if it can.
 class TimedCall : public std::enable_shared_from_this<TimedCall>, private ExchangeHandler
 {
 public:
@@ -33,7 +34,7 @@
 
     void start();
 
-    /// The callback is not called any more.
+    /// Cancels the call. The callback is not called.
     void cancel();
 
 private:
@@ -43,26 +44,26 @@
     void exchangeFailed(AttemptFailure failure) override;
     void answerReceived(MessageReader &answer) override;
     void armTimer();
-    Time end() const { return m_limits.end(m_startedAt, m_readAt); }
+    Time deadline() const { return m_limits.end(m_startedAt, m_lastReadAt); }
     void finish();
 
     boost::asio::steady_timer m_timer;
     CallLimits m_limits;
     Time m_startedAt {};
-    std::optional<Time> m_readAt; ///< a part of the answer, last
-    bool m_onlyConnects;
+    std::optional<Time> m_lastReadAt; ///< when the last part of the answer arrived
+    bool m_connectOnly;
     Callback m_callback;
     std::shared_ptr<Exchange> m_exchange;
     CallOutcome m_outcome;
-    bool m_over = false;
+    bool m_finished = false;
 };
 
-/// Sends \a call to the endpoint with that id and address, on a kept connection
-/// where there is one.
+/// Sends \a call to the endpoint with the id \a endpoint at \a address, on a pooled connection
+/// if there is one.
 void startCall(ConnectionPool &pool, const std::string &endpoint, const std::string &address,
                const OutgoingCall &call, Duration within, TimedCall::Callback callback);
 
-/// The text of a call to \a host, as HTTP/1.1.
+/// Formats \a call as an HTTP/1.1 request to \a host.
 std::string formatRequest(const OutgoingCall &call, std::string_view host);
 
 } // namespace balsamloft
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -14,22 +14,23 @@
 
 namespace {
 
-constexpr auto BusyTick = std::chrono::milliseconds(50);
-constexpr auto IdleTick = std::chrono::milliseconds(400);
-constexpr Duration PruneEvery {1'000'000};
-constexpr Duration AnswerWithin {300'000}; ///< of an engine that is asked for its state
-/// Shares of the grace, from the signal to stop. The balancer has noticed by
-/// then, and idle connections are closed.
-constexpr double BalancerNotices = 0.375;
-/// A stream begun later might outlive the process.
-constexpr double LastStream = 0.33;
-/// A call begun later might: callers keep coming where the balancer has nobody
-/// else to send them to, until the very end.
-constexpr double LastCall = 0.6;
+constexpr auto BusyTickInterval = std::chrono::milliseconds(50);
+constexpr auto IdleTickInterval = std::chrono::milliseconds(400);
+constexpr Duration PruneInterval {1'000'000};
+constexpr Duration EngineAnswerTimeout {300'000}; ///< of a query for the state of an engine
+/// Share of the grace period after which idle connections are closed. By then the load balancer
+/// has detected the stop.
+constexpr double CloseIdleShare = 0.375;
+/// Share of the grace period in which new streams are accepted. A later one might not finish.
+constexpr double LastStreamShare = 0.33;
+/// Share of the grace period in which other requests are accepted. If the load balancer has no
+/// other instance, it sends requests until the end.
+constexpr double LastCallShare = 0.6;
+/// The stop is finished this long before the end of the grace period.
 constexpr Duration StopMargin {400'000};
-/// Keys are refused this long before they might have been withdrawn.
+/// Keys are rejected this long before the revocation time is over.
 constexpr Duration KeyMargin {400'000};
-/// An instance whose knowledge is older says that it is not ready.
+/// Share of the revocation time: with older keys, the instance reports that it is not ready.
 constexpr double ReadyShare = 0.55;
 
 RelaySettings relaySettings(const EntrySettings &settings)
@@ -37,8 +38,8 @@
     RelaySettings relay;
     relay.domain = settings.domain;
     relay.seed = std::hash<std::string> {}(settings.name);
-    // A part of what is allowed stays unused: instances come and go, and each
-    // counts them a little late.
+    // Leaves a reserve: the number of instances changes, and each instance receives the new number
+    // with a delay.
     relay.retryRatio = settings.retryRatio * 0.85;
     relay.retrySlack = settings.retrySlack * 0.85;
     relay.retryWindow = settings.retryWindow;
@@ -88,7 +89,8 @@
 
 void TrafficServer::armTimer()
 {
-    m_timer.expires_after(m_relay.flights() > 0 || m_stopping ? BusyTick : IdleTick);
+    m_timer.expires_after(m_relay.flights() > 0 || m_stopping ? BusyTickInterval
+                                                              : IdleTickInterval);
     m_timer.async_wait([this](const boost::system::error_code &error) {
         if (!error)
             tick();
@@ -105,7 +107,7 @@
                                                                m_sessions.end());
     for (const auto &session : sessions)
         session->tick(now);
-    if (now - m_prunedAt >= PruneEvery) {
+    if (now - m_prunedAt >= PruneInterval) {
         m_prunedAt = now;
         m_pool.prune(*m_fleet, now);
     }
@@ -169,8 +171,8 @@
 
 bool TrafficServer::acceptsNew(RequestKind kind, Time now) const
 {
-    const double share = kind == RequestKind::Stream ? LastStream : LastCall;
-    return !m_stopping || now - m_stopAt < graceShare(share);
+    const double share = kind == RequestKind::Stream ? LastStreamShare : LastCallShare;
+    return !m_stopping || now - m_stopStartedAt < graceShare(share);
 }
 
 Duration TrafficServer::graceShare(double share) const
@@ -188,13 +190,13 @@
     m_flights.erase(flight);
 }
 
-void TrafficServer::closed(CallerSession &session)
+void TrafficServer::sessionClosed(CallerSession &session)
 {
     m_sessions.erase(session.shared_from_this());
 }
 
-/// Whether the endpoint runs requests of any content, and knows no question for its state.
-bool TrafficServer::isPlain(const std::string &id) const
+/// Whether the endpoint is a plain service, which has no state report.
+bool TrafficServer::isPlainService(const std::string &id) const
 {
     const FleetEndpoint *endpoint = m_fleet->find(id);
     if (!endpoint || !m_table)
@@ -203,61 +205,63 @@
     return service && !service->model;
 }
 
-void TrafficServer::connectionChecked(const std::string &endpoint, Time askedAt,
+void TrafficServer::connectionChecked(const std::string &endpoint, Time sentAt,
                                       const CallOutcome &outcome)
 {
-    m_questions.erase(endpoint);
+    m_queries.erase(endpoint);
     RelayActions actions;
-    if (outcome.left)
-        m_relay.endpointAnswered(endpoint, askedAt);
+    if (outcome.mayHaveArrived)
+        m_relay.endpointAnswered(endpoint, sentAt);
     else
-        m_relay.queryFailed(endpoint, steadyNow(), actions, outcome.refused);
+        m_relay.queryFailed(endpoint, steadyNow(), actions, outcome.connectionRefused);
     run(std::move(actions));
 }
 
-void TrafficServer::queryEngine(const QueryEngine &ask)
+void TrafficServer::queryEngine(const QueryEngine &query)
 {
-    if (m_questions.contains(ask.endpoint))
+    if (m_queries.contains(query.endpoint))
         return;
-    const bool plain = isPlain(ask.endpoint);
-    const Time askedAt = steadyNow();
+    const bool plain = isPlainService(query.endpoint);
+    const Time sentAt = steadyNow();
     ExchangeSettings settings;
-    settings.endpoint = ask.endpoint;
-    settings.address = ask.address;
+    settings.endpoint = query.endpoint;
+    settings.address = query.address;
     settings.freshConnection = true;
-    auto question = std::make_shared<TimedCall>(
+    auto call = std::make_shared<TimedCall>(
         m_pool, std::move(settings),
         plain ? std::string()
-              : formatRequest({"GET", std::string(m_protocol.reportTarget()), {}}, ask.address),
-        AnswerWithin, [this, plain, askedAt, endpoint = ask.endpoint](const CallOutcome &outcome) {
+              : formatRequest({"GET", std::string(m_protocol.reportTarget()), {}}, query.address),
+        EngineAnswerTimeout,
+        [this, plain, sentAt, endpoint = query.endpoint](const CallOutcome &outcome) {
             if (plain)
-                connectionChecked(endpoint, askedAt, outcome);
+                connectionChecked(endpoint, sentAt, outcome);
             else
-                engineAnswered(endpoint, askedAt, outcome);
+                engineAnswered(endpoint, sentAt, outcome);
         });
-    m_questions[ask.endpoint] = question;
-    question->start();
+    m_queries[query.endpoint] = call;
+    call->start();
 }
 
-void TrafficServer::engineAnswered(const std::string &endpoint, Time askedAt,
+void TrafficServer::engineAnswered(const std::string &endpoint, Time sentAt,
                                    const CallOutcome &outcome)
 {
-    m_questions.erase(endpoint);
+    m_queries.erase(endpoint);
     RelayActions actions;
     Reason reason;
-    const auto report = m_protocol.report(outcome.body, reason);
-    const FleetEndpoint *asked = m_fleet->find(endpoint);
-    // Another process answers under the same name: the one that was asked is gone.
-    const bool replaced = report && asked && report->isFromOtherProcess(*asked);
+    const auto report = m_protocol.parseReport(outcome.body, reason);
+    const FleetEndpoint *listed = m_fleet->find(endpoint);
+    // Another process answers under the same name: the queried one has terminated.
+    const bool replaced = report && listed && report->isFromOtherProcess(*listed);
     const bool gone = outcome.status == 0 || replaced;
     if (outcome.status != 200 || !report || gone) {
         logDecision(
             "engine", "silent",
             {{"endpoint", std::string_view(endpoint)}, {"status", std::int64_t(outcome.status)}});
         if (gone)
-            m_relay.queryFailed(endpoint, steadyNow(), actions, outcome.refused || replaced);
+            m_relay.queryFailed(endpoint, steadyNow(), actions,
+                                outcome.connectionRefused || replaced);
         else
-            m_relay.endpointAnswered(endpoint, askedAt);
+            m_relay.endpointAnswered(endpoint, sentAt);
         if (gone && m_engineSilent)
             m_engineSilent(endpoint);
         return run(std::move(actions));
@@ -267,71 +271,73 @@
         stalled += (stalled.empty() ? "" : ",") + each;
     logDecision("engine", "reported",
                 {{"endpoint", std::string_view(endpoint)},
-                 {"pace", report->pace},
+                 {"pace", report->slowdown},
                  {"stalled_at", std::string_view(stalled)}});
-    m_relay.endpointAnswered(endpoint, askedAt);
-    m_relay.reported(endpoint, report->stalledAddresses, report->pace, steadyNow(), actions);
+    m_relay.endpointAnswered(endpoint, sentAt);
+    m_relay.reported(endpoint, report->stalledAddresses, report->slowdown, steadyNow(), actions);
     run(std::move(actions));
 }
 
 void TrafficServer::changePath(const ChangePath &change)
 {
     startCall(m_pool, change.endpoint, change.address,
-              m_protocol.changePath(change.request, change.path), AnswerWithin,
+              m_protocol.changePathCall(change.request, change.path), EngineAnswerTimeout,
               [this, flight = change.flight, attempt = change.attempt](const CallOutcome &outcome) {
                   RelayActions actions;
-                  const auto [reply, at] = m_protocol.parsePathReply(outcome.status, outcome.body);
+                  const auto [reply, faultyAddress] =
+                      m_protocol.parsePathReply(outcome.status, outcome.body);
                   if (const auto it = m_flights.find(flight); it != m_flights.end())
-                      it->second->note(reply == PathReply::Taken
-                                           ? "path changed"
-                                           : "path not changed, " + std::to_string(outcome.status)
-                                                 + (at.empty() ? "" : " at " + at));
-                  m_relay.pathChanged(flight, attempt, reply, at, steadyNow(), actions);
+                      it->second->note(
+                          reply == PathReply::Taken
+                              ? "path changed"
+                              : "path not changed, " + std::to_string(outcome.status)
+                                    + (faultyAddress.empty() ? "" : " at " + faultyAddress));
+                  m_relay.pathChanged(flight, attempt, reply, faultyAddress, steadyNow(), actions);
                   run(std::move(actions));
               });
 }
 
-void TrafficServer::publishCrashes(const CrashUpdate &news)
+void TrafficServer::publishCrashes(const CrashUpdate &update)
 {
     const auto log = [](std::string_view event, const CrashRecord &record) {
         logDecision("quarantine", event,
                     {{"digest", std::string_view(record.digest)},
                      {"endpoint", std::string_view(record.endpoint)}});
     };
-    for (const CrashRecord &each : news.added)
+    for (const CrashRecord &each : update.added)
         log("endpoint ended", each);
-    for (const CrashRecord &each : news.removed)
+    for (const CrashRecord &each : update.removed)
         log("taken back", each);
     if (m_publishCrashes)
-        m_publishCrashes(news);
+        m_publishCrashes(update);
 }
 
-void TrafficServer::requestTrial(const RequestTrial &ask)
+void TrafficServer::requestTrial(const RequestTrial &request)
 {
     if (!m_requestTrial)
         return;
-    m_requestTrial(ask.request, [this, ask](const TrialAnswer &answer) {
-        noteSuspension();
+    m_requestTrial(request.request, [this, request](const TrialAnswer &answer) {
+        checkSuspension();
         RelayActions actions;
-        m_relay.trialAnswered(ask.flight, ask.request, answer, steadyNow(), actions);
+        m_relay.trialAnswered(request.flight, request.request, answer, steadyNow(), actions);
         run(std::move(actions));
     });
 }
 
-/// The steady clock stands still while the machine is suspended, and a permit would seem
-/// to last.
-void TrafficServer::noteSuspension()
+/// Expires trial permits after a suspension of the machine. The steady clock stops meanwhile, so
+/// they would appear to be still valid.
+void TrafficServer::checkSuspension()
 {
-    constexpr Duration Noticeable {50'000};
+    constexpr Duration Tolerance {50'000};
     const Duration suspended = bootNow() - steadyNow();
-    if (m_suspended != Duration::max() && suspended - m_suspended > Noticeable)
+    if (m_suspendedTime != Duration::max() && suspended - m_suspendedTime > Tolerance)
         m_relay.expireTrials();
-    m_suspended = suspended;
+    m_suspendedTime = suspended;
 }
 
 bool TrafficServer::maySend(FlightId flight, std::uint32_t attempt)
 {
-    noteSuspension();
+    checkSuspension();
     return m_relay.maySend(flight, attempt, steadyNow());
 }
 
@@ -342,20 +348,20 @@
         return it == m_flights.end() ? nullptr : it->second;
     };
     for (const RelayAction &action : actions) {
-        if (const auto *ask = std::get_if<QueryEngine>(&action)) {
-            queryEngine(*ask);
+        if (const auto *query = std::get_if<QueryEngine>(&action)) {
+            queryEngine(*query);
         } else if (const auto *change = std::get_if<ChangePath>(&action)) {
             if (const auto session = sessionOf(change->flight))
-                session->note("told " + change->endpoint + " (" + change->reason + ") to go along "
-                              + m_protocol.pathText(change->path));
+                session->note("path change at " + change->endpoint + " (" + change->reason + ") to "
+                              + m_protocol.formatPath(change->path));
             changePath(*change);
-        } else if (const auto *told = std::get_if<PublishCrashes>(&action)) {
-            publishCrashes(told->news);
+        } else if (const auto *crashes = std::get_if<PublishCrashes>(&action)) {
+            publishCrashes(crashes->news);
         } else if (const auto *trial = std::get_if<RequestTrial>(&action)) {
             requestTrial(*trial);
-        } else if (const auto *ended = std::get_if<FinishTrial>(&action)) {
+        } else if (const auto *finished = std::get_if<FinishTrial>(&action)) {
             if (m_finishTrial)
-                m_finishTrial(*ended);
+                m_finishTrial(*finished);
         } else if (const auto *send = std::get_if<SendRequest>(&action)) {
             if (const auto session = sessionOf(send->flight))
                 session->sendAttempt(*send);
@@ -365,9 +371,9 @@
         } else if (const auto *pass = std::get_if<PassAnswer>(&action)) {
             if (const auto session = sessionOf(pass->flight))
                 session->passAnswer();
-        } else if (const auto *end = std::get_if<FinishFlight>(&action)) {
-            if (const auto session = sessionOf(end->flight))
-                session->finishFlight(*end);
+        } else if (const auto *finish = std::get_if<FinishFlight>(&action)) {
+            if (const auto session = sessionOf(finish->flight))
+                session->finishFlight(*finish);
         }
     }
 }
@@ -377,20 +383,20 @@
     if (m_stopping)
         return;
     m_stopping = true;
-    m_stopAt = steadyNow();
+    m_stopStartedAt = steadyNow();
     m_stopped = std::move(stopped);
 }
 
 void TrafficServer::finishStop()
 {
     const Time now = steadyNow();
-    if (now - m_stopAt < graceShare(BalancerNotices))
+    if (now - m_stopStartedAt < graceShare(CloseIdleShare))
         return;
     const std::vector<std::shared_ptr<CallerSession>> sessions(m_sessions.begin(),
                                                                m_sessions.end());
     for (const auto &session : sessions)
         session->closeIfIdle(now);
-    if (m_sessions.empty() || now - m_stopAt >= m_settings.gracePeriod - StopMargin) {
+    if (m_sessions.empty() || now - m_stopStartedAt >= m_settings.gracePeriod - StopMargin) {
         m_acceptor.close();
         if (m_stopped)
             std::exchange(m_stopped, nullptr)();
@@ -424,8 +430,8 @@
     sample("endpoint_connections_opened_total", m_pool.opened);
     sample("endpoint_reads_total", m_pool.reads);
     sample("endpoint_writes_total", m_pool.writes);
-    sample("caller_reads_total", m_callerCalls.reads);
-    sample("caller_writes_total", m_callerCalls.writes);
+    sample("caller_reads_total", m_callerSocketCalls.reads);
+    sample("caller_writes_total", m_callerSocketCalls.writes);
     sample("endpoints", m_fleet->endpoints.size());
     sample("configuration_version", m_table ? m_table->version() : 0);
     sample("key_age_ms",
@@ -439,8 +445,8 @@
     }
     sample("store_calls_total", storeCalls);
     sample("store_failures_total", m_state.storeFailures);
-    sample("orders_total", m_state.ordersGiven);
-    sample("bad_rows_total", m_state.badRows);
+    sample("orders_total", m_state.ordersSent);
+    sample("bad_rows_total", m_state.invalidRows);
     sample("lease_held", m_state.holdsLease ? 1 : 0);
     sample("log_lines_dropped_total", droppedLogLines());
     m_requestMetrics.render(text);
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -1,5 +1,5 @@
 /// \file
-/// Callers' connections, and the relay that decides on their requests.
+/// Accepts connections of callers and forwards their requests as the relay decides.
 
 #pragma once
 
@@ -18,7 +18,7 @@
 
 class CallerSession;
 
-/// Serves callers on one thread.
+/// Serves callers on the traffic thread, and executes the actions of the relay.
 class TrafficServer
 {
 public:
@@ -26,7 +26,7 @@
                   const EntryProtocol &protocol, EntryState &state);
     ~TrafficServer();
 
-    /// \return whether the address could be listened at.
+    /// \return whether listening succeeded; otherwise \a reason is set.
     bool listen(Reason &reason);
 
     // Commands, on the traffic thread
@@ -37,35 +37,39 @@
     void applyEngineReports(const EngineReports &reports);
     void setSharedCrashes(const std::vector<CrashRecord> &all) { m_relay.setSharedCrashes(all); }
 
-    /// Takes over what may change while the process runs: times of keys and of a
-    /// stop, the budget of repeats, how much is logged.
+    /// Applies the settings that may change at run time: revocation time, grace period, retry
+    /// budget and log level.
     void reload(const EntrySettings &settings);
 
-    /// \a silent is called with the id of each engine that gave no answer.
+    /// \a silent is called with the id of each engine that did not answer a query.
     void onSilentEngine(std::function<void(std::string)> silent)
     {
         m_engineSilent = std::move(silent);
     }
 
-    /// \a tell is called with what other instances have to know of endpoints that
-    /// ended under requests.
-    void onCrashes(std::function<void(CrashUpdate)> tell) { m_publishCrashes = std::move(tell); }
+    /// \a publish is called with crashes of endpoints under requests, for the other instances.
+    void onCrashes(std::function<void(CrashUpdate)> publish)
+    {
+        m_publishCrashes = std::move(publish);
+    }
 
-    /// \a ask is called with each try of a suspected request that needs a permit, and
-    /// calls its second argument with the answer on this thread; \a end with each that
-    /// is over.
+    /// \a request is called for each trial of a suspected request, and passes the answer to its
+    /// second argument on the traffic thread. \a finish is called when a trial is finished.
     using TrialRequester = std::function<void(TrialRequest, std::function<void(TrialAnswer)>)>;
-    void onTrials(TrialRequester ask, std::function<void(FinishTrial)> end)
+    void onTrials(TrialRequester request, std::function<void(FinishTrial)> finish)
     {
-        m_requestTrial = std::move(ask);
-        m_finishTrial = std::move(end);
+        m_requestTrial = std::move(request);
+        m_finishTrial = std::move(finish);
     }
 
-    /// Whether an attempt's bytes may leave now.
+    /// Whether the request of an attempt may be sent now.
     bool maySend(FlightId flight, std::uint32_t attempt);
 
-    /// Takes no new work after a while, and calls \a stopped once all is done.
+    /// Begins a planned stop. Calls \a stopped once all requests are finished or the grace period
+    /// is over.
     void stop(std::function<void()> stopped);
+
+    /// Executes \a actions of the relay.
     void run(RelayActions actions);
 
     // For sessions
@@ -77,68 +81,68 @@
     Relay &relay() { return m_relay; }
     bool stopping() const { return m_stopping; }
 
-    /// Whether a request is still begun: late ones would outlive the process.
+    /// Whether a new request is still accepted during a planned stop.
     bool acceptsNew(RequestKind kind, Time now) const;
 
-    /// Whether keys are known recently enough to admit a request with one.
+    /// Whether the API keys are recent enough to accept requests with them.
     bool keysFresh() const;
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers to this instance.
     bool ready() const;
     void attach(FlightId flight, std::shared_ptr<CallerSession> session);
     void detach(FlightId flight);
-    void closed(CallerSession &session);
+    void sessionClosed(CallerSession &session);
     RequestMetrics &requestMetrics() { return m_requestMetrics; }
 
-    /// Calls that read from and wrote to callers' sockets.
+    /// Numbers of reads from and writes to the sockets of callers.
     struct SocketCalls
     {
         std::uint64_t reads = 0;
         std::uint64_t writes = 0;
     };
-    SocketCalls &callerSocketCalls() { return m_callerCalls; }
+    SocketCalls &callerSocketCalls() { return m_callerSocketCalls; }
     std::string metrics() const;
 
 private:
     void accept();
     void tick();
     void armTimer();
-    bool isPlain(const std::string &id) const;
-    void connectionChecked(const std::string &endpoint, Time askedAt, const CallOutcome &outcome);
-    void queryEngine(const QueryEngine &ask);
+    bool isPlainService(const std::string &id) const;
+    void connectionChecked(const std::string &endpoint, Time sentAt, const CallOutcome &outcome);
+    void queryEngine(const QueryEngine &query);
 
-    void engineAnswered(const std::string &endpoint, Time askedAt, const CallOutcome &outcome);
+    void engineAnswered(const std::string &endpoint, Time sentAt, const CallOutcome &outcome);
     void changePath(const ChangePath &change);
-    void publishCrashes(const CrashUpdate &news);
-    void requestTrial(const RequestTrial &ask);
-    void noteSuspension();
+    void publishCrashes(const CrashUpdate &update);
+    void requestTrial(const RequestTrial &request);
+    void checkSuspension();
     void finishStop();
     Duration graceShare(double share) const;
 
     boost::asio::io_context &m_context;
-    EntrySettings m_settings; ///< of this thread
+    EntrySettings m_settings; ///< copy of the traffic thread
     const EntryProtocol &m_protocol;
     EntryState &m_state;
     boost::asio::ip::tcp::acceptor m_acceptor;
     boost::asio::steady_timer m_timer;
     RequestMetrics m_requestMetrics;
-    SocketCalls m_callerCalls;
+    SocketCalls m_callerSocketCalls;
     ConnectionPool m_pool;
     Relay m_relay;
     RouteMapPtr m_table;
     FleetPtr m_fleet;
     std::unordered_map<FlightId, std::shared_ptr<CallerSession>> m_flights;
     std::set<std::shared_ptr<CallerSession>> m_sessions;
-    std::map<std::string, std::shared_ptr<TimedCall>> m_questions; ///< by endpoint
+    std::map<std::string, std::shared_ptr<TimedCall>> m_queries; ///< by endpoint
     bool m_stopping = false;
-    Time m_stopAt {};
+    Time m_stopStartedAt {};
     Time m_prunedAt {};
     std::function<void()> m_stopped;
     std::function<void(std::string)> m_engineSilent;
     std::function<void(CrashUpdate)> m_publishCrashes;
     TrialRequester m_requestTrial;
     std::function<void(FinishTrial)> m_finishTrial;
-    Duration m_suspended {Duration::max()}; ///< what the steady clock lacks; at first unknown
+    Duration m_suspendedTime {Duration::max()}; ///< bootNow() minus steadyNow(); maximum: unknown
 };
 
 } // namespace balsamloft
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -51,19 +51,19 @@
         static constexpr HeaderNames Names {
             .requestId = "Request-Id",
             .deadline = "Deadline-Ms",
-            .key = "Team-Key",
+            .teamKey = "Team-Key",
             .team = "Team",
             .expectedEndpoint = "Endpoint-Id",
             .path = "Engine-Path",
             .urgency = "Urgency",
             .expectedVersion = "Weights-Version",
-            .tokenCount = "Tokens",
+            .tokenCounts = "Tokens",
             .lengthHint = "Length-Hint",
-            .lastEvent = "Last-Event-Id",
+            .lastEventId = "Last-Event-Id",
             .executionProof = "Seal",
             .notExecuted = "Not-Run",
             .load = "Load",
-            .atAddress = "At-Fault",
+            .faultyAddress = "At-Fault",
             .rateLimit = "Rate-Limit",
         };
         return Names;
@@ -72,18 +72,19 @@
     std::string_view configurationKey() const override { return "current"; }
     std::string_view endpointTable() const override { return "endpoints"; }
 
-    OutgoingCall read(std::string_view table, std::string_view /*from*/) const override
+    OutgoingCall readCall(std::string_view table, std::string_view /*from*/) const override
     {
         return {"GET", "/table/" + std::string(table), {}};
     }
-    OutgoingCall watch(std::string_view table, std::uint64_t after, Duration wait) const override
+    OutgoingCall watchCall(std::string_view table, std::uint64_t after,
+                           Duration wait) const override
     {
         return {"GET",
                 "/changes/" + std::string(table) + "/" + std::to_string(after) + "/"
                     + std::to_string(wait.count() / 1000),
                 {}};
     }
-    OutgoingCall commit(const Transaction &transaction) const override
+    OutgoingCall commitCall(const Transaction &transaction) const override
     {
         json::array checks;
         for (const RowCheck &check : transaction.checks)
@@ -99,7 +100,7 @@
                 json::serialize(json::object {{"checks", checks}, {"writes", writes}})};
     }
 
-    StoreReply reply(int status, std::string_view body) const override
+    StoreReply parseStoreReply(int status, std::string_view body) const override
     {
         StoreReply reply;
         reply.kind = status == 200   ? StoreReply::Kind::Done
@@ -122,7 +123,7 @@
         return reply;
     }
 
-    RouteMapPtr parseRouteTable(std::string_view body, std::vector<Reason> &leftOut,
+    RouteMapPtr parseRouteTable(std::string_view body, std::vector<Reason> &skippedEntries,
                                 Reason &reason) const override
     {
         const auto object = parsed(body, reason);
@@ -167,12 +168,12 @@
             builder.team({std::string(team.value().as_string()), std::nullopt},
                          {std::string(team.key())});
         RouteMapPtr map = builder.build();
-        leftOut = builder.leftOut();
+        skippedEntries = builder.leftOut();
         return map;
     }
 
-    std::optional<FleetEndpoint> endpoint(std::string_view id, std::string_view body,
-                                          Reason &reason) const override
+    std::optional<FleetEndpoint> parseEndpoint(std::string_view id, std::string_view body,
+                                               Reason &reason) const override
     {
         const auto object = parsed(body, reason);
         if (!object)
@@ -192,7 +193,7 @@
     }
 
     std::string_view reportTarget() const override { return "/state"; }
-    std::optional<EngineReport> report(std::string_view body, Reason &reason) const override
+    std::optional<EngineReport> parseReport(std::string_view body, Reason &reason) const override
     {
         const auto object = parsed(body, reason);
         if (!object)
@@ -200,11 +201,11 @@
         EngineReport report;
         report.startedAt = static_cast<std::uint64_t>(number(*object, "started", 0));
         report.layers = range(*object);
-        report.orders = static_cast<std::uint64_t>(number(*object, "orders"));
+        report.acceptedOrders = static_cast<std::uint64_t>(number(*object, "orders"));
         return report;
     }
-    OutgoingCall order(const LayerOrder &order, std::uint64_t expectedOrders,
-                       std::uint64_t fencing) const override
+    OutgoingCall orderCall(const LayerOrder &order, std::uint64_t expectedOrders,
+                           std::uint64_t fencing) const override
     {
         return {"POST", "/hold",
                 json::serialize(json::object {{"from", order.layers.begin},
@@ -214,7 +215,7 @@
     }
     OrderReply parseOrderReply(int status) const override
     {
-        return status == 200 ? OrderReply::Taken : OrderReply::Refused;
+        return status == 200 ? OrderReply::Accepted : OrderReply::Rejected;
     }
     std::pair<PathReply, std::string> parsePathReply(int status,
                                                      std::string_view /*body*/) const override
@@ -224,12 +225,13 @@
                                 : PathReply::Lost,
                 {}};
     }
-    OutgoingCall changePath(std::string_view request, std::span<const PathPart> path) const override
+    OutgoingCall changePathCall(std::string_view request,
+                                std::span<const PathPart> path) const override
     {
         return {"POST", "/path",
-                json::serialize(json::object {{"request", request}, {"path", pathText(path)}})};
+                json::serialize(json::object {{"request", request}, {"path", formatPath(path)}})};
     }
-    std::string pathText(std::span<const PathPart> path) const override
+    std::string formatPath(std::span<const PathPart> path) const override
     {
         std::string result;
         for (const PathPart &part : path)
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -1,6 +1,7 @@
 /// \file
-/// What an entry instance speaks with callers, endpoints and the platform's
-/// store, as names, formats and calls. An implementation decides nothing.
+/// The wire protocol between an entry instance and its callers, the endpoints and the
+/// platform's store: header names, formats and calls. Implementations only encode and
+/// decode; routing decisions are made elsewhere.
 
 #pragma once
 
@@ -15,78 +16,78 @@
 
 namespace balsamloft {
 
-/// Header names. Compared without regard to case.
+/// Names of header fields; matched case-insensitively.
 struct HeaderNames
 {
     std::string_view requestId;
-    std::string_view deadline; ///< milliseconds that the sender will wait
-    std::string_view key; ///< of a team; never passed on
-    std::string_view team; ///< set here, whatever a caller sent
-    std::string_view expectedEndpoint; ///< id that the receiver must have
-    std::string_view path; ///< engines that a request passes through
+    std::string_view deadline; ///< remaining time of the request in milliseconds
+    std::string_view teamKey; ///< API key of a team; removed before a request is forwarded
+    std::string_view team; ///< name of the team; overwrites what the caller sent
+    std::string_view expectedEndpoint; ///< name of the endpoint that the request is meant for
+    std::string_view path; ///< engines that process the request in turn, with their layers
     std::string_view urgency;
     std::string_view expectedVersion;
-    std::string_view tokenCount; ///< "prompt,answer at most"
-    std::string_view lengthHint; ///< expected tokens of the answer
-    std::string_view lastEvent; ///< a stream goes on after this event
-    std::string_view executionProof; ///< mark of an endpoint's answer
-    std::string_view notExecuted; ///< the endpoint did not run the request
+    std::string_view tokenCounts; ///< "prompt,maximum answer"
+    std::string_view lengthHint; ///< expected number of tokens in the answer
+    std::string_view lastEventId; ///< id of the event after which a stream resumes
+    std::string_view executionProof; ///< proof by the endpoint that it executed the request
+    std::string_view notExecuted; ///< set when the endpoint did not execute the request
     std::string_view load; ///< "running,waiting,slots"
-    std::string_view atAddress; ///< engine at fault
-    std::string_view rateLimit; ///< requests a second that an endpoint takes from all instances
+    std::string_view faultyAddress; ///< address of the engine that caused a failure
+    std::string_view rateLimit; ///< requests per second that an endpoint accepts in total
 };
 
-/// A call to the store or to an engine.
+/// An HTTP request to the store or to an engine.
 struct OutgoingCall
 {
     std::string method;
     std::string target;
     std::string body; ///< empty: none
-    std::string header = {}; ///< a further line of the head; empty: none
+    std::string header = {}; ///< an additional header line; empty: none
 };
 
-/// What the store answered.
+/// The decoded answer of the store.
 struct StoreReply
 {
     enum class Kind : std::uint8_t {
         Done,
-        Conflict, ///< a condition did not hold: nothing was written
-        HistoryExpired, ///< changes since then are no longer known: read anew
-        Rejected, ///< turned away: nothing was done
-        Failed, ///< an answer that says nothing
+        Conflict, ///< a condition of the transaction failed; nothing was written
+        HistoryExpired, ///< the change log no longer reaches back that far: read a snapshot
+        Rejected, ///< the store rejected the call without executing it
+        Failed, ///< no usable answer; a write may have been applied
     };
     Kind kind = Kind::Failed;
     std::vector<StoreRow> rows;
-    std::uint64_t version = 0; ///< of the newest row
-    std::int64_t storeMs = 0; ///< the store's steady clock
-    bool more = false;
+    std::uint64_t version = 0; ///< version of the newest row
+    std::int64_t storeMs = 0; ///< time on the store's steady clock
+    bool more = false; ///< further pages follow
 };
 
-/// What an engine says of itself.
+/// The state that an engine reports.
 struct EngineReport
 {
-    std::uint64_t startedAt = 0; ///< when the process started that answered; 0: not told
+    std::uint64_t startedAt = 0; ///< start time of the engine's process; 0: not reported
     LayerRange layers;
-    bool busy = false;
-    std::uint64_t orders = 0;
-    double pace = 1;
-    double used = 0; ///< KV memory that cannot yield, in tokens times layers
-    std::uint32_t active = 0; ///< requests that run on it
-    std::uint32_t queued = 0; ///< requests that wait there
-    std::vector<std::string> stalledAddresses; ///< addresses that do not answer it
-
-    /// Whether another process answered than the one that \a endpoint lists.
+    bool busy = false; ///< an order is in progress
+    std::uint64_t acceptedOrders = 0; ///< number of orders accepted so far
+    double slowdown = 1; ///< step time relative to what is normal for the kind
+    double usedKv = 0; ///< KV memory that cannot be evicted, in tokens times layers
+    std::uint32_t running = 0; ///< number of running requests
+    std::uint32_t queued = 0; ///< number of waiting requests
+    std::vector<std::string> stalledAddresses; ///< of engines that do not answer this engine
+
+    /// Whether the report comes from another process than \a endpoint, such as its restart.
     bool isFromOtherProcess(const FleetEndpoint &endpoint) const
     {
         return startedAt != 0 && endpoint.startedAt != 0 && startedAt != endpoint.startedAt;
     }
 };
 
-/// How an engine answered an order.
-enum class OrderReply : std::uint8_t { Taken, Refused, Unknown };
+/// The result of an order to an engine.
+enum class OrderReply : std::uint8_t { Accepted, Rejected, Unknown };
 
-/// Names, formats and calls. Functions that read return nothing and leave a
-/// reason when what they read is malformed.
+/// Encodes calls and decodes answers. On malformed input, functions with a `reason`
+/// parameter set it and return an empty result.
 class EntryProtocol
 {
 public:
@@ -96,37 +97,45 @@
     virtual std::string_view configurationTable() const = 0;
     virtual std::string_view configurationKey() const = 0;
     virtual std::string_view endpointTable() const = 0;
-    virtual OutgoingCall read(std::string_view table, std::string_view from) const = 0;
-    virtual OutgoingCall watch(std::string_view table, std::uint64_t after,
-                               Duration wait) const = 0;
-    virtual OutgoingCall commit(const Transaction &transaction) const = 0;
-    virtual StoreReply reply(int status, std::string_view body) const = 0;
-
-    /// \a leftOut: reasons for entries that could not be taken over.
-    virtual RouteMapPtr parseRouteTable(std::string_view text, std::vector<Reason> &leftOut,
+    virtual OutgoingCall readCall(std::string_view table, std::string_view from) const = 0;
+    virtual OutgoingCall watchCall(std::string_view table, std::uint64_t after,
+                                   Duration wait) const = 0;
+    virtual OutgoingCall commitCall(const Transaction &transaction) const = 0;
+    virtual StoreReply parseStoreReply(int status, std::string_view body) const = 0;
+
+    /// \a skippedEntries receives a reason for each invalid entry; the others take effect.
+    virtual RouteMapPtr parseRouteTable(std::string_view text, std::vector<Reason> &skippedEntries,
                                         Reason &reason) const = 0;
-    /// An endpoint's entry under the name \a id. Nothing when another writer than
-    /// an endpoint wrote it: a field is missing, of another type, or unknown.
-    virtual std::optional<FleetEndpoint> endpoint(std::string_view id, std::string_view text,
-                                                  Reason &reason) const = 0;
 
+    /// Decodes the row of the endpoint \a id. A row with a missing, unknown or wrongly typed
+    /// field was not written by an endpoint and is rejected.
+    virtual std::optional<FleetEndpoint> parseEndpoint(std::string_view id, std::string_view text,
+                                                       Reason &reason) const = 0;
+
+    /// Request target at which engines report their state.
     virtual std::string_view reportTarget() const = 0;
-    virtual std::optional<EngineReport> report(std::string_view body, Reason &reason) const = 0;
-    virtual OutgoingCall order(const LayerOrder &order, std::uint64_t expectedOrders,
-                               std::uint64_t fencing) const = 0;
+    virtual std::optional<EngineReport> parseReport(std::string_view body,
+                                                    Reason &reason) const = 0;
+
+    /// Orders an engine to hold the layers of \a order. The engine rejects the order unless it has
+    /// accepted exactly \a expectedOrders orders before. \a fencing: token of the placement lease.
+    virtual OutgoingCall orderCall(const LayerOrder &order, std::uint64_t expectedOrders,
+                                   std::uint64_t fencing) const = 0;
     virtual OrderReply parseOrderReply(int status) const = 0;
 
-    /// How an engine answered changePath(), and the address of the engine at fault.
+    /// Decodes the answer to changePathCall(): the result, and the address of the engine that
+    /// caused a refusal.
     virtual std::pair<PathReply, std::string> parsePathReply(int status,
                                                              std::string_view body) const = 0;
 
-    /// Has the first engine of \a path carry the request with id \a request on along it.
-    virtual OutgoingCall changePath(std::string_view request,
-                                    std::span<const PathPart> path) const = 0;
-    virtual std::string pathText(std::span<const PathPart> path) const = 0;
+    /// Instructs the first engine of \a path to continue the request with the id \a request
+    /// along that path.
+    virtual OutgoingCall changePathCall(std::string_view request,
+                                        std::span<const PathPart> path) const = 0;
+    virtual std::string formatPath(std::span<const PathPart> path) const = 0;
 };
 
-/// The protocol of the platform that this program is built for.
+/// Returns the protocol of the platform that this program is built for.
 std::unique_ptr<EntryProtocol> makeEntryProtocol();
 
 } // namespace balsamloft
--- a/src/include/balsamloft/storeuse.h
+++ b/src/include/balsamloft/storeuse.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the store is called for, as counters, log lines and their readers name it.
+/// Purposes of calls to the store, for metrics and log lines.
 
 #pragma once
 
@@ -9,9 +9,15 @@
 
 namespace balsamloft {
 
-/// What a call to the store is for.
-enum class StoreUse : std::uint8_t { Follow, ReadSnapshot, Lease, OwnRow };
+/// The purpose of a call to the store.
+enum class StoreUse : std::uint8_t {
+    Follow, ///< waits for changes of a table
+    ReadSnapshot,
+    Lease,
+    OwnRow, ///< writes rows of this instance, crashes or trials
+};
 
+/// Names in metrics and log lines, in the order of StoreUse.
 inline constexpr std::array<std::string_view, 4> StoreUseNames {"follow", "read_whole", "lease",
                                                                 "own_row"};
 
--- a/src/libweb/fuzzcases.cpp
+++ b/src/libweb/fuzzcases.cpp
@@ -81,15 +81,15 @@
     const std::string_view key = bytes.substr(0, line);
     const std::string_view value = bytes.substr(std::min(line + 1, bytes.size()));
     Reason reason;
-    if (const auto endpoint = protocol->endpoint(key, value, reason)) {
+    if (const auto endpoint = protocol->parseEndpoint(key, value, reason)) {
         require(endpoint->name == key && !endpoint->service.empty());
         require(endpoint->layers.begin <= endpoint->layers.end);
     } else {
         require(!reason.empty());
     }
-    protocol->report(value, reason);
-    std::vector<Reason> leftOut;
-    protocol->parseRouteTable(value, leftOut, reason);
+    protocol->parseReport(value, reason);
+    std::vector<Reason> skippedEntries;
+    protocol->parseRouteTable(value, skippedEntries, reason);
 }
 
 void messages(std::string_view bytes)
--- a/testsuite/entry/entry_process_test.cpp
+++ b/testsuite/entry/entry_process_test.cpp
@@ -1,4 +1,4 @@
-// `balsamloft-entry` as a process: planned stops, settings, a log that nobody reads.
+// Tests of the process `balsamloft-entry`: planned stops, settings and a blocked log.
 
 #include "entryharness.h"
 
@@ -13,24 +13,25 @@
 
 namespace {
 
-/// An engine that keeps its streams waiting until \a finish.
-RawServer::Handler streamsOnce(const std::atomic<bool> &finish)
+/// Handles requests as an engine whose streams wait until \a released is set.
+RawServer::Handler streamWhenReleased(const std::atomic<bool> &released)
 {
-    return [&finish](const std::string &request) -> RawAnswer {
+    return [&released](const std::string &request) -> RawAnswer {
         if (request.starts_with("GET /state"))
             return {okAnswer(request, R"({"layers":[0,4],"orders":1})")};
-        waitUntil([&] { return finish.load(); });
+        waitUntil([&] { return released.load(); });
         return {streamHead(request) + chunk(event(1)) + "0\r\n\r\n"};
     };
 }
 
 } // namespace
 
-TEST_CASE("an instance told to stop says so, finishes what runs, and ends by itself", "[process]")
+TEST_CASE("after SIGTERM an instance is not ready, finishes running requests and exits",
+          "[process]")
 {
     EntryHarness entry;
-    std::atomic<bool> finish {false};
-    RawServer engine(streamsOnce(finish));
+    std::atomic<bool> released {false};
+    RawServer engine(streamWhenReleased(released));
     entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
     std::string answer;
     std::thread caller([&] { answer = entry.post("/stream/x"); });
@@ -42,19 +43,19 @@
     });
     entry.process->signal(SIGTERM);
     CHECK(waitUntil([&] { return !entry.isReady(); }));
-    finish = true;
+    released = true;
     caller.join();
     CHECK(answer.ends_with("0\r\n\r\n"));
     CHECK(entry.process->wait() == 0);
 }
 
-TEST_CASE("late in a planned stop nothing new is begun, and the caller is told so", "[process]")
+TEST_CASE("late in a planned stop new requests are refused with 503", "[process]")
 {
-    // A stream keeps the process open; callers still come. What is begun in the
-    // last moment would be cut with the process, so it is refused as not run.
+    // A stream keeps the process running while callers still send requests. Requests accepted at
+    // the end would be aborted with the process, so they are refused without execution.
     EntryHarness entry;
-    std::atomic<bool> finish {false};
-    RawServer engine(streamsOnce(finish));
+    std::atomic<bool> released {false};
+    RawServer engine(streamWhenReleased(released));
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
     entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
@@ -65,20 +66,20 @@
     std::string answer;
     CHECK(waitUntil([&] {
         answer = entry.post("/safe/x");
-        // Closed without having been read: it crossed the stop, and asks again.
+        // An empty answer: the connection was closed before the request was read.
         return !answer.empty() && !answer.starts_with("HTTP/1.1 200");
     }));
     CHECK(answer.starts_with("HTTP/1.1 503"));
     CHECK(answer.find("Connection: close") != std::string::npos);
-    finish = true;
+    released = true;
     caller.join();
     CHECK(entry.process->wait() == 0);
 }
 
-TEST_CASE("a log that nobody reads holds up no request", "[process]")
+TEST_CASE("a log that is not read does not delay requests", "[process]")
 {
-    // Standard output is a pipe that is full after some 300 requests. Callers go
-    // on getting their answers; what cannot be written is dropped and counted.
+    // Standard output is a pipe that is full after some 300 requests. Requests are still answered;
+    // lines that cannot be written are dropped and counted.
     FakeStore store;
     const std::string callers = freeAddress();
     const std::string ready = freeAddress();
@@ -90,12 +91,12 @@
                  {"name":"safe","host":"h","prefix":"/safe/","kind":"safe","service":"plain"}]})");
     store.put("endpoints", "e1",
               R"({"service":"plain","address":")" + endpoint.address() + R"(","domain":"d"})");
-    boost::process::ipstream unread;
+    boost::process::ipstream unreadOutput;
     boost::process::child child(programDirectory() + "/balsamloft-entry-standin", "--name=entry-1",
                                 "--domain=d", "--listen=" + callers, "--ready_listen=" + ready,
                                 "--peer_listen=" + freeAddress(), "--metrics_listen=" + metrics,
                                 "--store=" + store.address(), "--log_all",
-                                boost::process::std_out > unread);
+                                boost::process::std_out > unreadOutput);
     const auto get = [](const std::string &address) {
         return exchange(address, "GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n", completeAnswer);
     };
@@ -110,18 +111,17 @@
     child.terminate();
 }
 
-TEST_CASE("settings that cannot be used end the process with a clear line", "[process]")
+TEST_CASE("an invalid address in the settings exits with code 2 and an error message", "[process]")
 {
     Process process("balsamloft-entry-standin", {"--name=x", "--domain=d", "--listen=nowhere"});
     CHECK(process.wait() == 2);
-    CHECK(process.output().find("--listen: 'nowhere' is no IP:port") != std::string::npos);
+    CHECK(process.output().find("--listen: 'nowhere' is not an IP:port") != std::string::npos);
 }
 
-TEST_CASE("settings are read again on SIGHUP, and a malformed file changes nothing", "[process]")
+TEST_CASE("SIGHUP reloads the settings, and a malformed file changes nothing", "[process]")
 {
-    // The first signal finds a file with a value that is none: a line says so and
-    // callers are served as before. The second one finds a good file; what needs a
-    // restart is named.
+    // At the first signal the file has an invalid value, which is logged. At the second one it is
+    // valid, and the flags that need a restart are logged.
     FakeStore store;
     const auto directory =
         boost::filesystem::temp_directory_path() / boost::filesystem::unique_path();
@@ -139,7 +139,7 @@
     write("--store=" + store.address() + "\n--retry_ratio=many");
     process.signal(SIGHUP);
     CHECK(process.waitFor("\"settings not taken\",\"reason\":\"([^\"]*)\"")
-          == "--retry_ratio: 'many' is not taken");
+          == "--retry_ratio: 'many' is not a valid value");
     write("--store=127.0.0.1:1\n--retry_ratio=0.3");
     process.signal(SIGHUP);
     CHECK(process.waitFor("\"event\":\"reloaded\".*\"needs_restart\":\"([^\"]*)\"") == "--store");
--- a/testsuite/entry/entry_test.cpp
+++ b/testsuite/entry/entry_test.cpp
@@ -1,4 +1,4 @@
-// What callers of one instance of `balsamloft-entry` see.
+// Tests one instance of `balsamloft-entry` from the caller's point of view.
 
 #include "entryharness.h"
 
@@ -6,16 +6,16 @@
 
 using namespace balsamloft::testsuite;
 
-TEST_CASE("an instance without a configuration is not ready and refuses as not run", "[process]")
+TEST_CASE("an instance without a configuration is not ready and answers 503", "[process]")
 {
-    // The caller of a process that has just started and cannot read the store:
-    // neither "no such route" nor "unknown key" would be true.
+    // A process that has just started and cannot read the store knows neither routes nor keys, so
+    // 404 or 401 would be wrong.
     EntryHarness entry(false);
     CHECK_FALSE(entry.isReady());
     CHECK(entry.post("/safe/x").starts_with("HTTP/1.1 503"));
 }
 
-TEST_CASE("a call goes through with the team's name, without the key, with the time left",
+TEST_CASE("a forwarded request has the team's name and the remaining time, but not the key",
           "[process]")
 {
     EntryHarness entry;
@@ -37,12 +37,12 @@
     CHECK(std::stoi(headerOf(request, "Deadline-Ms")) <= 5000);
 }
 
-TEST_CASE("an unknown key is refused, and so is a known one once the store was silent too long",
+TEST_CASE("an unknown key is refused, and so is a known key after a long outage of the store",
           "[process]")
 {
-    // A key may have been withdrawn while the store cannot be read. Before the
-    // bound is over the caller is refused as not run, with a time to come back;
-    // an unknown key is then not called unknown either.
+    // A key may be withdrawn while the store cannot be read. Before the revocation time is over,
+    // requests are refused with 503 and Retry-After; unknown keys get 503 too, since they may be
+    // new.
     EntryHarness entry(true, "3000");
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
@@ -56,7 +56,7 @@
     CHECK(waitUntil([&] { return !entry.isReady(); }));
 }
 
-TEST_CASE("a new configuration is in force, and a malformed one changes nothing", "[process]")
+TEST_CASE("a new configuration takes effect, and a malformed one changes nothing", "[process]")
 {
     EntryHarness entry;
     RawServer endpoint(
@@ -71,10 +71,10 @@
     CHECK(entry.answersWith("/moved/x", "done", "new-key"));
 }
 
-TEST_CASE("what an endpoint sends that is no answer to the request reaches nobody", "[process]")
+TEST_CASE("an invalid answer of an endpoint is not passed to the caller", "[process]")
 {
-    // The caller gets an honest failure, or, for a call that may run again, the
-    // answer of another endpoint; never another's answer, never half of one.
+    // The answer belongs to another request, lacks the proof of execution, is truncated, is encoded
+    // or is no HTTP. The request is unsafe, so it is not retried and fails with 502.
     const std::string wrong = GENERATE(
         std::string(
             "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nSeal: s\r\nContent-Length: 4\r\n\r\nevil"),
@@ -93,10 +93,9 @@
     CHECK(bad.requests().size() == 1);
 }
 
-TEST_CASE("bytes after an answer poison the connection", "[process]")
+TEST_CASE("a connection with bytes after an answer is not reused", "[process]")
 {
-    // An endpoint sends a second answer that nobody asked for. The next caller
-    // must not get it.
+    // The endpoint sends an unsolicited second answer, which the next caller must not get.
     EntryHarness entry;
     std::atomic<int> count {0};
     RawServer endpoint([&](const std::string &request) {
@@ -113,7 +112,7 @@
         }));
 }
 
-TEST_CASE("an endpoint that says it did not run an unsafe call is no reason to say it may have",
+TEST_CASE("an unsafe request that the endpoint reports as not executed is answered with 503",
           "[process]")
 {
     EntryHarness entry;
@@ -126,7 +125,7 @@
     CHECK(answer.find("Retry-After: ") != std::string::npos);
 }
 
-TEST_CASE("an unsafe call whose connection broke is sent once and may have run", "[process]")
+TEST_CASE("an unsafe request is not sent again after its connection broke", "[process]")
 {
     EntryHarness entry;
     const auto then = GENERATE(RawAnswer::Then::Close, RawAnswer::Then::Reset);
@@ -138,10 +137,10 @@
     CHECK(one.requests().size() + two.requests().size() == 1);
 }
 
-TEST_CASE("a stream cut in the middle of an event goes on at another engine", "[process]")
+TEST_CASE("a stream truncated within an event resumes at another engine", "[process]")
 {
-    // The caller sees one answer: the head and events 1 and 2 of the first
-    // engine, then 3 and 4 of the second; the half event is not among them.
+    // The caller receives one answer: the head and events 1 and 2 of the first engine, then events
+    // 3 and 4 of the second. The partial event 3 of the first engine is dropped.
     EntryHarness entry;
     std::atomic<int> runs {0};
     const auto engine = [&](const std::string &request) -> RawAnswer {
@@ -172,7 +171,7 @@
     CHECK(resumed);
 }
 
-TEST_CASE("a stream that cannot go on does not look complete", "[process]")
+TEST_CASE("a stream that cannot resume ends without the last chunk", "[process]")
 {
     EntryHarness entry;
     RawServer engine([&](const std::string &request) -> RawAnswer {
@@ -186,7 +185,7 @@
     CHECK_FALSE(answer.ends_with("0\r\n\r\n"));
 }
 
-TEST_CASE("a caller that goes away ends the work at the engine", "[process]")
+TEST_CASE("the connection to the engine is closed when the caller disconnects", "[process]")
 {
     EntryHarness entry;
     RawServer engine([&](const std::string &request) -> RawAnswer {
@@ -202,7 +201,7 @@
     CHECK(waitUntil([&] { return engine.closedByPeer() >= 1; }));
 }
 
-TEST_CASE("a request that could be read in two ways reaches no endpoint", "[process]")
+TEST_CASE("a request with both Content-Length and Transfer-Encoding is not forwarded", "[process]")
 {
     EntryHarness entry;
     RawServer endpoint(
@@ -218,7 +217,7 @@
     CHECK(endpoint.requests().empty());
 }
 
-TEST_CASE("an endpoint that leaves gets nothing new", "[process]")
+TEST_CASE("an endpoint that reports leaving gets no new requests", "[process]")
 {
     EntryHarness entry;
     RawServer old([](const std::string &request) { return RawAnswer {okAnswer(request, "old")}; });
@@ -230,26 +229,25 @@
     entry.store.put("endpoints", "old",
                     R"({"service":"plain","address":")" + old.address()
                         + R"(","domain":"d","state":"leaving"})");
-    entry.process->waitFor("\"number\":(3)"); // it has heard
+    entry.process->waitFor("\"number\":(3)"); // the instance has applied the change
     const std::size_t before = old.requests().size();
     for (int i = 0; i < 20; ++i)
         CHECK(entry.answersWith("/safe/x", "new"));
     CHECK(old.requests().size() == before);
 }
 
-// The caller's request goes to an endpoint whose leaving the store acknowledged seconds
-// ago. The endpoint wrote itself down and was taken off the list within a quarter of a
-// second, between two readings, so that one answer of the store holds both steps, in
-// their order. The instance takes the endpoint for ready, and nothing tells it again.
-TEST_CASE("an endpoint that came and left between two readings gets nothing", "[process]")
+// Guards against applying the deletions in an answer before the other changes. If an endpoint's row
+// is written and deleted within a quarter of a second, one answer of the store holds both. The
+// endpoint would then stay listed and receive requests, since no further change removes it.
+TEST_CASE("an endpoint that is added and removed between two reads gets no requests", "[process]")
 {
     EntryHarness entry;
-    const auto answers = [](const std::string &body) {
+    const auto answerWith = [](const std::string &body) {
         return [body](const std::string &request) { return RawAnswer {okAnswer(request, body)}; };
     };
-    RawServer stays(answers("stays"));
-    RawServer left(answers("left"));
-    RawServer later(answers("later"));
+    RawServer stays(answerWith("stays"));
+    RawServer left(answerWith("left"));
+    RawServer later(answerWith("later"));
     entry.endpoint("stays", "plain", stays.address());
     CHECK(entry.answersWith("/safe/x", "stays"));
     entry.store.putAndDrop("endpoints", "left",
@@ -262,8 +260,8 @@
     CHECK(left.requests().empty());
 }
 
-// Guards against a limit in an endpoint's answers that is not read.
-TEST_CASE("an endpoint that names a rate limit gets few of the calls", "[process]")
+// Guards against ignoring the rate limit in the answers of an endpoint.
+TEST_CASE("an endpoint with a low rate limit gets few of the requests", "[process]")
 {
     constexpr std::size_t Calls = 200;
     EntryHarness entry;
--- a/testsuite/entry/entryharness.h
+++ b/testsuite/entry/entryharness.h
@@ -1,6 +1,6 @@
 /// \file
-/// One `balsamloft-entry` before a store and endpoints that answer whatever a
-/// test wants, in a protocol of the project's own.
+/// Runs one `balsamloft-entry` with a fake store and endpoints controlled by the test. Uses the
+/// stand-in protocol, which is independent of the platform.
 
 #pragma once
 
@@ -11,14 +11,14 @@
 
 namespace balsamloft::testsuite {
 
-/// The platform's store, as far as an instance needs it.
+/// A fake of the platform's store.
 class FakeStore
 {
 public:
-    std::atomic<bool> down {false};
-    std::atomic<bool> silent {false};
+    std::atomic<bool> down {false}; ///< answers 503
+    std::atomic<bool> silent {false}; ///< does not answer
 
-    /// Questions that are held end at once, not after the seconds that they may be held.
+    /// Ends waiting long polls immediately.
     ~FakeStore() { down = true; }
 
     void put(const std::string &table, const std::string &key, const std::string &value)
@@ -33,7 +33,7 @@
         m_tables.drop(table, key);
     }
 
-    /// Writes a row and drops it with nothing read in between.
+    /// Writes and deletes a row without a read in between.
     void putAndDrop(const std::string &table, const std::string &key, const std::string &value)
     {
         const std::lock_guard lock(m_mutex);
@@ -102,7 +102,7 @@
     return request.substr(begin, request.find("\r\n", begin) - begin);
 }
 
-/// An endpoint's ordinary answer.
+/// A valid answer of an endpoint.
 inline std::string okAnswer(const std::string &request, const std::string &body)
 {
     return "HTTP/1.1 200 OK\r\nRequest-Id: " + headerOf(request, "Request-Id")
@@ -127,7 +127,7 @@
            + "\r\nSeal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 }
 
-/// One instance before a store, with a key, and a route of each kind.
+/// One instance with a fake store, an API key and a route of each kind.
 class EntryHarness
 {
 public:
@@ -163,7 +163,7 @@
         store.put("endpoints", id,
                   R"({"service":")" + service + R"(","address":")" + address
                       + R"(","domain":"d","kind":"card")" + more + "}");
-        // Known once the number of endpoints that the instance counts has grown.
+        // Waits until the instance has logged the new number of endpoints.
         const std::string wanted = "\"endpoints\":" + std::to_string(++m_endpoints);
         waitUntil([&] { return process->output().find(wanted) != std::string::npos; });
     }
@@ -184,8 +184,8 @@
                         completeAnswer);
     }
 
-    /// Asks until the answer ends with \a end: on a busy machine a call may be
-    /// given up and refused as not run.
+    /// Repeats the request until the answer ends with \a end: on a busy machine, attempts may time
+    /// out and be refused.
     bool answersWith(const std::string &path, const std::string &end,
                      const std::string &key = "good-key") const
     {
--- a/testsuite/entry/rawserver.cpp
+++ b/testsuite/entry/rawserver.cpp
@@ -26,7 +26,7 @@
     return listener;
 }
 
-/// Length of the first whole request in \a text; 0: not whole yet.
+/// Length of the first complete request in \a text; 0: not complete yet.
 std::size_t requestLength(const std::string &text)
 {
     const std::size_t head = text.find("\r\n\r\n");
@@ -105,11 +105,11 @@
                 return;
             }
             if (answer.then == RawAnswer::Then::Reset) {
-                const linger abrupt {1, 0};
-                ::setsockopt(socket, SOL_SOCKET, SO_LINGER, &abrupt, sizeof abrupt);
-                const int null = ::dup(socket); // the number stays ours until the end
+                const linger resetOnClose {1, 0};
+                ::setsockopt(socket, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof resetOnClose);
+                const int duplicate = ::dup(socket); // m_sockets keeps the original descriptor open
                 ::shutdown(socket, SHUT_RDWR);
-                ::close(null);
+                ::close(duplicate);
                 return;
             }
         }
@@ -123,7 +123,7 @@
 }
 
 std::string exchange(const std::string &address, const std::string &request,
-                     const std::function<bool(const std::string &)> &enough)
+                     const std::function<bool(const std::string &)> &isComplete)
 {
     const std::size_t colon = address.find(':');
     sockaddr_in target {};
@@ -135,7 +135,7 @@
     if (::connect(socket, reinterpret_cast<sockaddr *>(&target), sizeof target) == 0) {
         ::send(socket, request.data(), request.size(), MSG_NOSIGNAL);
         char buffer[4096];
-        while (!enough(answer)) {
+        while (!isComplete(answer)) {
             const auto count = ::recv(socket, buffer, sizeof buffer, 0);
             if (count <= 0)
                 break;
--- a/testsuite/entry/rawserver.h
+++ b/testsuite/entry/rawserver.h
@@ -1,5 +1,5 @@
 /// \file
-/// A server that answers with the bytes a test wants, right or wrong.
+/// An HTTP server whose answers, valid or not, are chosen by the test.
 
 #pragma once
 
@@ -12,14 +12,15 @@
 
 namespace balsamloft::testsuite {
 
-/// What a RawServer does with a request.
+/// The answer of a RawServer to a request.
 struct RawAnswer
 {
     std::string bytes;
+    /// What happens to the connection after the bytes.
     enum class Then { Keep, Close, Reset, Silence } then = Then::Keep;
 };
 
-/// Listens on a free port of loopback; a thread for each connection.
+/// Listens on a free loopback port, with one thread per connection.
 class RawServer
 {
 public:
@@ -31,7 +32,7 @@
     std::string address() const;
     std::vector<std::string> requests() const;
 
-    /// Connections that the other side closed.
+    /// Number of connections that the peer closed.
     int closedByPeer() const { return m_closedByPeer; }
 
 private:
@@ -39,7 +40,7 @@
     void serve(int socket);
 
     Handler m_handler;
-    int m_port = 0; // set while the next one is made
+    int m_port = 0; // set by the initializer of m_listener
     int m_listener = -1;
     std::atomic<bool> m_stop {false};
     std::atomic<int> m_closedByPeer {0};
@@ -50,15 +51,15 @@
     std::thread m_acceptor;
 };
 
-/// Sends \a request to "IP:port" and returns all that comes until the
-/// connection ends, or until \a enough says so.
+/// Sends \a request to \a address, an "IP:port". Returns the bytes received until the connection is
+/// closed or \a isComplete returns true.
 std::string exchange(const std::string &address, const std::string &request,
-                     const std::function<bool(const std::string &)> &enough);
+                     const std::function<bool(const std::string &)> &isComplete);
 
-/// Whether \a text is a whole answer with a length or in chunks.
+/// Whether \a text is a complete answer, with a length or chunked.
 bool completeAnswer(const std::string &text);
 
-/// A free port of loopback, as "127.0.0.1:port".
+/// A free loopback port, as "127.0.0.1:port".
 std::string freeAddress();
 
 } // namespace balsamloft::testsuite
