--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -50,18 +50,18 @@
 {
     const auto self = shared_from_this();
     if (m_streamBegun) {
-        m_out += "0\r\n\r\n";
+        m_output += "0\r\n\r\n";
         logOutcome("passed", 200, "");
     } else if (m_answer) {
         writeHead(m_answer->head(), m_answer->body().size());
         if (m_request->head().method != "HEAD")
-            m_out += m_answer->body();
+            m_output += m_answer->body();
         logOutcome("passed", m_answer->head().status, "");
     } else {
         // A complete stream without events.
         return refuse(502, "stream without events");
     }
-    answerWritten();
+    finishRequest();
 }
 
 void CallerSession::finishFlight(const FinishFlight &finish)
@@ -87,42 +87,43 @@
 void CallerSession::writeHead(const MessageHead &head, std::optional<std::size_t> length)
 {
     const std::vector<std::string> connection = connectionOptions(head);
-    m_closeAfter = m_closeAfter || m_server.stopping();
-    m_out += "HTTP/1.1 " + std::to_string(head.status) + " " + std::string(statusText(head.status))
-             + "\r\n";
+    m_closeAfterAnswer = m_closeAfterAnswer || m_server.stopping();
+    m_output += "HTTP/1.1 " + std::to_string(head.status) + " "
+                + std::string(statusText(head.status)) + "\r\n";
     for (const HeaderField &field : head.fields) {
         const bool listed = std::any_of(connection.begin(), connection.end(), [&](auto &each) {
             return sameFieldName(each, field.name);
         });
         if (!isHopByHopField(field.name) && !listed)
-            m_out += field.name + ": " + field.value + "\r\n";
+            m_output += field.name + ": " + field.value + "\r\n";
     }
-    m_out += length ? "Content-Length: " + std::to_string(*length) + "\r\n"
-                    : std::string("Transfer-Encoding: chunked\r\n");
-    m_out += m_closeAfter ? "Connection: close\r\n\r\n" : "\r\n";
+    m_output += length ? "Content-Length: " + std::to_string(*length) + "\r\n"
+                       : std::string("Transfer-Encoding: chunked\r\n");
+    m_output += m_closeAfterAnswer ? "Connection: close\r\n\r\n" : "\r\n";
 }
 
 void CallerSession::refuse(int status, std::string_view reason, std::optional<Duration> retryAfter)
 {
-    m_closeAfter = m_closeAfter || m_server.stopping();
+    m_closeAfterAnswer = m_closeAfterAnswer || m_server.stopping();
     const std::string body = "{\"error\":{\"message\":\"" + std::string(reason) + "\"}}";
-    m_out += "HTTP/1.1 " + std::to_string(status) + " " + std::string(statusText(status))
-             + "\r\nContent-Type: application/json\r\n";
+    m_output += "HTTP/1.1 " + std::to_string(status) + " " + std::string(statusText(status))
+                + "\r\nContent-Type: application/json\r\n";
     if (!m_requestId.empty())
-        m_out += std::string(m_server.protocol().headers().requestId) + ": " + m_requestId + "\r\n";
+        m_output +=
+            std::string(m_server.protocol().headers().requestId) + ": " + m_requestId + "\r\n";
     if (retryAfter) {
         const std::string millis = std::to_string(1000 + milliseconds(*retryAfter) % 1000);
-        m_out += "Retry-After: " + std::to_string(retryAfter->count() / 1'000'000) + "."
-                 + millis.substr(1) + "\r\n";
+        m_output += "Retry-After: " + std::to_string(retryAfter->count() / 1'000'000) + "."
+                    + millis.substr(1) + "\r\n";
     }
-    m_out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
-    m_out += m_closeAfter ? "Connection: close\r\n\r\n" : "\r\n";
-    m_out += body;
+    m_output += "Content-Length: " + std::to_string(body.size()) + "\r\n";
+    m_output += m_closeAfterAnswer ? "Connection: close\r\n\r\n" : "\r\n";
+    m_output += body;
     logOutcome("refused", status, reason);
-    answerWritten();
+    finishRequest();
 }
 
-void CallerSession::answerWritten()
+void CallerSession::finishRequest()
 {
     if (m_flight)
         m_server.detach(*m_flight);
@@ -130,7 +131,7 @@
     m_request.reset();
     m_answer.reset();
     m_events.reset();
-    m_key.clear();
+    m_teamKey.clear();
     m_requestId.clear();
     m_body.clear();
     m_table.reset();
@@ -141,7 +142,7 @@
 
 void CallerSession::write(std::string_view bytes)
 {
-    m_out += bytes;
+    m_output += bytes;
     flush();
 }
 
@@ -149,19 +150,19 @@
 {
     if (m_writing || m_closed)
         return;
-    if (m_out.empty()) {
+    if (m_output.empty()) {
         if (m_flight)
             return;
-        if (m_closeAfter)
+        if (m_closeAfterAnswer)
             return close();
         return;
     }
     m_writing = true;
     m_server.callerSocketCalls().writes += 1;
-    m_writingBytes.swap(m_out);
-    m_out.clear();
+    m_outputBeingWritten.swap(m_output);
+    m_output.clear();
     asio::async_write(
-        m_socket, asio::buffer(m_writingBytes),
+        m_socket, asio::buffer(m_outputBeingWritten),
         [self = shared_from_this()](const boost::system::error_code &error, std::size_t) {
             self->m_writing = false;
             if (error)
@@ -179,7 +180,7 @@
     read();
 }
 
-void CallerSession::note(std::string_view text)
+void CallerSession::addToTrail(std::string_view text)
 {
     constexpr std::size_t MaxTrailLength = 2000;
     if (m_trail.size() + text.size() > MaxTrailLength)
--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -37,9 +37,9 @@
     m_eventsBeforeAttempt = m_passedEvents;
     m_answer.reset();
     m_events.reset();
-    note("sent to " + send.endpoint + " (" + send.reason + ")"
-         + (send.path.empty() ? std::string()
-                              : " along " + m_server.protocol().formatPath(send.path)));
+    addToTrail("sent to " + send.endpoint + " (" + send.reason + ")"
+               + (send.path.empty() ? std::string()
+                                    : " along " + m_server.protocol().formatPath(send.path)));
     ExchangeSettings settings;
     settings.endpoint = send.endpoint;
     settings.address = send.address;
@@ -63,9 +63,9 @@
     const Time now = steadyNow();
     // The key may have been withdrawn while the request waited for a connection or while this
     // process was paused.
-    const bool keyed = !m_key.empty() && !m_streamBegun;
+    const bool keyed = !m_teamKey.empty() && !m_streamBegun;
     const RouteMapPtr &table = m_server.table();
-    if (keyed && (!m_server.keysFresh() || !table->team(m_key))) {
+    if (keyed && (!m_server.keysFresh() || !table->team(m_teamKey))) {
         RelayActions actions;
         const FlightId flight = *m_flight;
         m_server.relay().callerGone(flight, now, actions);
@@ -87,7 +87,7 @@
 {
     static constexpr std::array<std::string_view, 3> Names {"not sent", "broken off",
                                                             "invalid answer"};
-    note(Names[static_cast<std::size_t>(failure)]);
+    addToTrail(Names[static_cast<std::size_t>(failure)]);
     if (failure != AttemptFailure::NotSent)
         logBrokenAttempt();
     abandonAttempt();
@@ -149,8 +149,8 @@
     m_passedEvents += count;
     std::array<char, 20> size {};
     const auto end = std::to_chars(size.data(), size.data() + size.size(), events.size(), 16).ptr;
-    m_out.append(size.data(), static_cast<std::size_t>(end - size.data()));
-    m_out.append("\r\n").append(events).append("\r\n");
+    m_output.append(size.data(), static_cast<std::size_t>(end - size.data()));
+    m_output.append("\r\n").append(events).append("\r\n");
     RelayActions actions;
     m_server.relay().eventsPassed(*m_flight, m_attempt, m_events->lastId(), now, actions);
     m_server.run(std::move(actions));
@@ -175,8 +175,8 @@
     }
     m_answer.emplace(std::move(answer));
     const AnswerHead head = answerHead(m_answer->head());
-    note("answered " + std::to_string(head.status) + (head.notExecuted ? ", not run" : "")
-         + (head.atAddress.empty() ? std::string() : " at " + std::string(head.atAddress)));
+    addToTrail("answered " + std::to_string(head.status) + (head.notExecuted ? ", not run" : "")
+               + (head.atAddress.empty() ? std::string() : " at " + std::string(head.atAddress)));
     m_server.relay().answered(*m_flight, m_attempt, head, now, actions);
     m_server.run(std::move(actions));
 }
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -98,7 +98,7 @@
 
 void CallerSession::refuseMalformed()
 {
-    m_closeAfter = true;
+    m_closeAfterAnswer = true;
     switch (m_request->failure()) {
     case MessageReader::Failure::HeaderTooLarge:
         return refuse(431, "header too large");
@@ -120,7 +120,7 @@
     m_trail.clear();
     m_routeName.clear();
     m_digest.clear();
-    m_closeAfter = m_closeAfter || !m_request->keepAlive();
+    m_closeAfterAnswer = m_closeAfterAnswer || !m_request->keepAlive();
     m_requestId = std::string(head.find(m_server.protocol().headers().requestId).value_or(""));
     m_body = std::move(m_request->body());
     m_table = m_server.table();
@@ -143,7 +143,7 @@
 bool CallerSession::admit(const Route &route, const RouteMap &table)
 {
     m_teamName.clear();
-    m_key.clear();
+    m_teamKey.clear();
     m_routeName = route.name;
     if (route.anonymous || !table.hasTeams())
         return true;
@@ -151,8 +151,9 @@
         refuse(503, "API keys out of date", Duration(300'000));
         return false;
     }
-    m_key = std::string(m_request->head().find(m_server.protocol().headers().teamKey).value_or(""));
-    const RoutedTeam *team = table.team(m_key);
+    m_teamKey =
+        std::string(m_request->head().find(m_server.protocol().headers().teamKey).value_or(""));
+    const RoutedTeam *team = table.team(m_teamKey);
     if (!team) {
         refuse(401, "unknown API key");
         return false;
@@ -262,7 +263,7 @@
     const RequestLimits limits = table ? table->limits() : RequestLimits {};
     const bool partial = m_request && m_request->started();
     if (partial && now - m_lastReadAt >= limits.headerTimeout) {
-        m_closeAfter = true;
+        m_closeAfterAnswer = true;
         return refuse(408, "request not completed in time");
     }
     if (!partial && now - m_lastReadAt >= limits.idleTimeout)
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -28,7 +28,7 @@
     void abandonAttempt();
 
     /// Appends a decision to the request's trail, which is logged when the request finishes.
-    void note(std::string_view text);
+    void addToTrail(std::string_view text);
     void passAnswer();
     void finishFlight(const FinishFlight &finish);
 
@@ -53,6 +53,7 @@
     void handleRequest();
     bool admit(const Route &route, const RouteMap &table);
     void submit(const RouteMapPtr &table, const Route &route);
+    /// Builds the start line and header fields that are sent to endpoints.
     void buildForwardedHead();
     std::string requestText(const SendRequest &send) const;
     void refuse(int status, std::string_view reason, std::optional<Duration> retryAfter = {});
@@ -61,8 +62,11 @@
     void writeHead(const MessageHead &head, std::optional<std::size_t> length);
     void write(std::string_view bytes);
     void flush();
-    void answerWritten();
+    /// Resets the state of the current request and writes the rest of its answer.
+    void finishRequest();
+    /// Continues with the next request once the answer is written.
     void continueReading();
+    /// The fields of \a head that the relay needs.
     AnswerHead answerHead(const MessageHead &head) const;
     std::string contentDigest();
     void logBrokenAttempt() const;
@@ -72,23 +76,23 @@
     boost::asio::ip::tcp::socket m_socket;
     std::array<char, 4096> m_buffer {};
     std::string m_unread;
-    std::string m_out;
-    std::string m_writingBytes;
+    std::string m_output;
+    std::string m_outputBeingWritten;
     std::optional<MessageReader> m_request;
     std::string m_requestId;
     std::string m_digest; ///< of the request's content, see requestDigest()
     std::string m_teamName;
-    std::string m_key;
+    std::string m_teamKey;
     std::string m_routeName;
     RouteMapPtr m_table;
     const Route *m_route = nullptr;
-    std::string m_forwardedHead; ///< start line and header fields for endpoints
+    std::string m_forwardedHead;
     std::string m_body;
-    std::optional<std::uint64_t>
-        m_callerLastEventId; ///< the caller resumes a stream after this event
+    /// The caller resumes a stream after this event.
+    std::optional<std::uint64_t> m_callerLastEventId;
     std::shared_ptr<Exchange> m_exchange;
-    std::optional<MessageReader>
-        m_answer; ///< a complete answer that the relay may pass to the caller
+    /// A complete answer that the relay may pass to the caller.
+    std::optional<MessageReader> m_answer;
     std::optional<EventSplitter> m_events;
     std::optional<FlightId> m_flight;
     std::uint32_t m_attempt = 0;
@@ -104,7 +108,7 @@
     std::string m_trail; ///< decisions on the request, for the log
     bool m_streamBegun = false;
     bool m_writing = false;
-    bool m_closeAfter = false; ///< close the connection after the answer
+    bool m_closeAfterAnswer = false; ///< close the connection after the answer
     bool m_closed = false;
     bool m_reading = false;
 };
--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -129,7 +129,7 @@
     , m_crashChannel(context, settings.storeAddress, protocol, state)
     , m_engines(context)
     , m_fleet(fleetSettings(settings))
-    , m_fleetNow(std::make_shared<FleetSnapshot>())
+    , m_fleetSnapshot(std::make_shared<FleetSnapshot>())
     , m_lease(leaseSettings(settings))
     , m_planner(plannerSettings(settings))
     , m_trialPermits(trialSettings(settings))
@@ -357,14 +357,14 @@
     m_state.fleetKnown = m_fleet.known();
     if (!m_fleet.dirty())
         return;
-    const FleetPtr before = std::exchange(m_fleetNow, m_fleet.snapshot());
-    m_server.keepOnly(*m_fleetNow);
-    logDepartures(*before, *m_fleetNow);
+    const FleetPtr before = std::exchange(m_fleetSnapshot, m_fleet.snapshot());
+    m_server.keepOnly(*m_fleetSnapshot);
+    logDepartures(*before, *m_fleetSnapshot);
     logDecision("endpoints", "changed",
-                {{"number", std::int64_t(m_fleetNow->number)},
-                 {"endpoints", std::int64_t(m_fleetNow->endpoints.size())}});
+                {{"number", std::int64_t(m_fleetSnapshot->number)},
+                 {"endpoints", std::int64_t(m_fleetSnapshot->endpoints.size())}});
     logCoverage();
-    m_events.fleet(m_fleetNow);
+    m_events.fleet(m_fleetSnapshot);
 }
 
 /// Logs the coverage gaps of this instance's domain and of all domains when they change. They
@@ -376,8 +376,8 @@
     for (const RoutedService &service : m_table->services()) {
         if (!service.model)
             continue;
-        const Coverage own(*m_fleetNow, service, m_settings.domain);
-        const Coverage all(*m_fleetNow, service, {});
+        const Coverage own(*m_fleetSnapshot, service, m_settings.domain);
+        const Coverage all(*m_fleetSnapshot, service, {});
         const std::pair gaps(own.gaps(), all.gaps());
         if (std::exchange(m_loggedGaps[service.name], gaps) == gaps)
             continue;
@@ -430,7 +430,7 @@
                     {{"fencing", std::int64_t(m_lease.fencing())}});
     m_state.holdsLease = held;
     if (held && !m_stopping)
-        place(steadyNow());
+        placeLayers(steadyNow());
     logStoreCalls(now);
     fillGaps(steadyNow());
     writeCrashes(steadyNow());
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -115,7 +115,7 @@
     void otherDomainsReported(const EngineReports &reports);
     void reportsArrived(const EngineReports &reports);
     void queryOtherDomains(Time now);
-    void place(Time now);
+    void placeLayers(Time now);
     void fillGaps(Time now);
     FleetSnapshot ownDomainSnapshot(Time now) const;
     std::optional<std::set<std::string>> silentEngines() const;
@@ -147,7 +147,7 @@
     StoreChannel m_crashChannel; ///< separate, so that permits don't wait for slower calls
     ConnectionPool m_engines;
     FleetTracker m_fleet;
-    FleetPtr m_fleetNow;
+    FleetPtr m_fleetSnapshot;
     RouteMapPtr m_table;
     std::uint64_t m_tableRowVersion = 0; ///< version of the row that m_table comes from
     InstanceList m_instanceList;
@@ -165,8 +165,8 @@
     /// Last logged coverage gaps of this instance's domain and of all domains, by service. Empty
     /// until the first log line, which is written even if there are no gaps.
     std::map<std::string, std::optional<std::pair<std::string, std::string>>> m_loggedGaps;
-    std::map<std::string, std::uint64_t, std::less<>>
-        m_skippedRows; ///< versions of invalid rows, by key
+    /// Versions of invalid rows of the endpoints, by key.
+    std::map<std::string, std::uint64_t, std::less<>> m_skippedRows;
     TrialPermits m_trialPermits;
     CrashUpdate m_unpublishedCrashes; ///< kept until the store's clock is known
     /// Writes that the store has not confirmed, by row key; no value: the row is deleted.
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::size_t MaxWritesPerTransaction = 100; ///< limit of the store
 constexpr std::size_t MaxPendingWrites = 1000; ///< kept while the store is down
-constexpr Duration InitialRetryPause {
-    300'000}; ///< after a failed write; doubled with each further one
+/// Pause after a failed write; doubles with each further failure.
+constexpr Duration InitialRetryPause {300'000};
 constexpr Duration MaxRetryPause {5'000'000};
 
 std::string crashKey(const CrashRecord &record)
@@ -170,7 +170,7 @@
     constexpr Duration StoreUnavailableWait {2'000'000};
     if (!m_storeOffset || !m_directory.storeUsable(steadyNow()))
         return answered({.wait = StoreUnavailableWait});
-    auto decision = m_trialPermits.ask(request, *m_fleetNow, storeNow());
+    auto decision = m_trialPermits.ask(request, *m_fleetSnapshot, storeNow());
     if (const auto *refused = std::get_if<TrialAnswer>(&decision))
         return answered(*refused);
     const Time requestedAt = bootNow();
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -13,7 +13,7 @@
 constexpr Duration EngineCallTimeout {450'000};
 constexpr Duration SilentEnginePollInterval {1'000'000};
 constexpr Duration OtherDomainsQueryInterval {1'000'000};
-constexpr std::uint32_t MaxMissedPolls = 2;
+constexpr std::uint32_t MissesUntilSilent = 2;
 
 } // namespace
 
@@ -26,8 +26,8 @@
         m_otherDomainsQueriedAt = now;
         queryOtherDomains(now);
     }
-    std::erase_if(m_polled, [&](const auto &each) { return !m_fleetNow->find(each.first); });
-    for (const FleetEndpoint &each : m_fleetNow->endpoints)
+    std::erase_if(m_polled, [&](const auto &each) { return !m_fleetSnapshot->find(each.first); });
+    for (const FleetEndpoint &each : m_fleetSnapshot->endpoints)
         if (each.domain == m_settings.domain && each.layers.end > each.layers.begin
             && isPollDue(each, now))
             queryEngine(each);
@@ -72,12 +72,12 @@
 /// Acts only on the domain reader, which polls the engines of the domain anyway.
 void Control::engineSilent(const std::string &id)
 {
-    const FleetEndpoint *engine = m_fleetNow->find(id);
+    const FleetEndpoint *engine = m_fleetSnapshot->find(id);
     const auto polled = m_polled.find(id);
     if (!engine || polled == m_polled.end() || engine->domain != m_settings.domain
-        || !isDomainReader() || polled->second.misses >= MaxMissedPolls)
+        || !isDomainReader() || polled->second.misses >= MissesUntilSilent)
         return;
-    polled->second.misses = MaxMissedPolls - 1;
+    polled->second.misses = MissesUntilSilent - 1;
     queryEngine(*engine);
 }
 
@@ -85,7 +85,7 @@
 {
     Reason reason;
     const auto report = m_protocol.parseReport(outcome.body, reason);
-    const FleetEndpoint *listed = m_fleetNow->find(id);
+    const FleetEndpoint *listed = m_fleetSnapshot->find(id);
     if (!listed)
         return;
     // Another process answers under the same name: the listed one has terminated.
@@ -93,8 +93,8 @@
     const bool answered = outcome.status == 200 && report && !replaced;
     PolledEngine &polled = m_polled[id];
     polled.pollPending = false;
-    polled.misses = replaced ? MaxMissedPolls : outcome.status == 0 ? polled.misses + 1 : 0;
-    if (polled.misses == MaxMissedPolls)
+    polled.misses = replaced ? MissesUntilSilent : outcome.status == 0 ? polled.misses + 1 : 0;
+    if (polled.misses == MissesUntilSilent)
         logDecision("engine", "silent", {{"endpoint", std::string_view(id)}});
     polled.state.id = id;
     polled.state.at = steadyNow();
@@ -130,7 +130,7 @@
 void Control::otherDomainsReported(const EngineReports &reports)
 {
     for (const EngineState &state : reports.changed) {
-        const FleetEndpoint *engine = m_fleetNow->find(state.id);
+        const FleetEndpoint *engine = m_fleetSnapshot->find(state.id);
         if (engine && engine->domain != m_settings.domain)
             m_otherDomainReports.changed.push_back(state);
     }
@@ -147,7 +147,7 @@
     if (std::exchange(m_polledDirty, false)) {
         const auto silent = silentEngines();
         for (const auto &[id, polled] : m_polled) {
-            const FleetEndpoint *engine = m_fleetNow->find(id);
+            const FleetEndpoint *engine = m_fleetSnapshot->find(id);
             EngineState now = polled.state;
             now.silent = silent && silent->contains(id);
             const EngineState *published = m_server.publishedState(id);
@@ -169,14 +169,14 @@
     m_events.engines(reports);
 }
 
-void Control::place(Time now)
+void Control::placeLayers(Time now)
 {
     if (!m_table || !m_fleet.known())
         return;
     for (const RoutedService &service : m_table->services()) {
         if (!service.model)
             continue;
-        for (const LayerOrder &order : m_planner.plan(*m_fleetNow, service, now))
+        for (const LayerOrder &order : m_planner.plan(*m_fleetSnapshot, service, now))
             startOrder(order);
     }
 }
@@ -188,7 +188,7 @@
 {
     std::set<std::string> silent;
     for (const auto &[id, polled] : m_polled)
-        if (polled.misses >= MaxMissedPolls)
+        if (polled.misses >= MissesUntilSilent)
             silent.insert(id);
     if (silent.size() * 2 > m_polled.size())
         return std::nullopt;
@@ -201,7 +201,7 @@
 {
     constexpr Duration MaxAnswerAge {1'700'000};
     FleetSnapshot fleet;
-    for (const FleetEndpoint &each : m_fleetNow->endpoints) {
+    for (const FleetEndpoint &each : m_fleetSnapshot->endpoints) {
         if (each.domain != m_settings.domain)
             continue;
         FleetEndpoint &own = fleet.endpoints.emplace_back(each);
@@ -247,7 +247,7 @@
                [this, order](const CallOutcome &outcome) {
                    Reason reason;
                    const auto report = m_protocol.parseReport(outcome.body, reason);
-                   const FleetEndpoint *listed = m_fleetNow->find(order.endpoint);
+                   const FleetEndpoint *listed = m_fleetSnapshot->find(order.endpoint);
                    if (outcome.status != 200 || !report || report->busy || !listed
                        || report->isFromOtherProcess(*listed)
                        || (order.additive && !GapFiller::keepsHeldLayers(order, report->layers)))
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -29,18 +29,18 @@
     explicit Entry(EntrySettings settings)
         : m_settings(std::move(settings))
         , m_protocol(makeEntryProtocol())
-        , m_trafficServer(m_traffic, m_settings, *m_protocol, m_state)
+        , m_trafficServer(m_trafficContext, m_settings, *m_protocol, m_state)
         , m_control(m_controlContext, m_settings, *m_protocol, m_state, events())
-        , m_readiness(m_traffic,
+        , m_readiness(m_trafficContext,
                       [this](std::string_view, const SimpleHttpServer::Reply &reply) {
                           reply(m_trafficServer.ready() ? HttpAnswer {200, "ready\n"}
                                                         : HttpAnswer {503, "not ready\n"});
                       })
-        , m_metrics(m_traffic,
+        , m_metrics(m_trafficContext,
                     [this](std::string_view, const SimpleHttpServer::Reply &reply) {
                         reply({200, m_trafficServer.metrics()});
                     })
-        , m_signals(m_traffic, SIGTERM, SIGINT, SIGHUP)
+        , m_signals(m_trafficContext, SIGTERM, SIGINT, SIGHUP)
     {
     }
 
@@ -79,7 +79,7 @@
             m_control.start();
             m_controlContext.run();
         });
-        m_traffic.run();
+        m_trafficContext.run();
         m_controlContext.stop();
         control.join();
         logDecision("entry", "ended", {});
@@ -92,22 +92,22 @@
     {
         ControlEvents events;
         events.table = [this](RouteMapPtr table) {
-            asio::post(m_traffic, [this, table] { m_trafficServer.setTable(table); });
+            asio::post(m_trafficContext, [this, table] { m_trafficServer.setTable(table); });
         };
         events.fleet = [this](FleetPtr fleet) {
-            asio::post(m_traffic, [this, fleet] { m_trafficServer.setFleet(fleet); });
+            asio::post(m_trafficContext, [this, fleet] { m_trafficServer.setFleet(fleet); });
         };
         events.instances = [this](KnownInstances known) {
-            asio::post(m_traffic,
+            asio::post(m_trafficContext,
                        [this, known = std::move(known)] { m_trafficServer.setInstances(known); });
         };
         events.engines = [this](EngineReports reports) {
-            asio::post(m_traffic, [this, reports = std::move(reports)] {
+            asio::post(m_trafficContext, [this, reports = std::move(reports)] {
                 m_trafficServer.applyEngineReports(reports);
             });
         };
         events.crashes = [this](std::vector<CrashRecord> all) {
-            asio::post(m_traffic,
+            asio::post(m_trafficContext,
                        [this, all = std::move(all)] { m_trafficServer.setSharedCrashes(all); });
         };
         return events;
@@ -117,7 +117,7 @@
     void requestTrial(TrialRequest request, std::function<void(TrialAnswer)> answered)
     {
         const auto reply = [this, answered = std::move(answered)](const TrialAnswer &answer) {
-            asio::post(m_traffic, [answered, answer] { answered(answer); });
+            asio::post(m_trafficContext, [answered, answer] { answered(answer); });
         };
         asio::post(m_controlContext, [this, request = std::move(request), reply] {
             m_control.requestTrial(request, reply);
@@ -160,12 +160,12 @@
             return;
         logDecision("entry", "stopping", {});
         asio::post(m_controlContext, [this] { m_control.stop([] {}); });
-        m_trafficServer.stop([this] { m_traffic.stop(); });
+        m_trafficServer.stop([this] { m_trafficContext.stop(); });
     }
 
     EntrySettings m_settings;
     EntryState m_state;
-    asio::io_context m_traffic {1};
+    asio::io_context m_trafficContext {1};
     asio::io_context m_controlContext {1};
     std::unique_ptr<EntryProtocol> m_protocol;
     TrafficServer m_trafficServer;
--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr auto ExpireInterval = std::chrono::milliseconds(100);
-constexpr std::string_view Prefix = "/news/";
+constexpr std::string_view TargetPrefix = "/news/";
 
 std::uint64_t milliseconds(Time time)
 {
@@ -36,8 +36,8 @@
 
 std::string updateTarget(const UpdateQuery &query)
 {
-    return std::string(Prefix) + std::to_string(query.table) + "/" + std::to_string(query.after)
-           + "/" + std::to_string(query.wait.count() / 1000) + "/"
+    return std::string(TargetPrefix) + std::to_string(query.table) + "/"
+           + std::to_string(query.after) + "/" + std::to_string(query.wait.count() / 1000) + "/"
            + std::to_string(query.statesSinceMs) + "/"
            + std::to_string(query.changedWithin.count() / 1000);
 }
@@ -74,10 +74,12 @@
     return m_server.listen(address, reason);
 }
 
+/// Handles a query with a target from updateTarget().
 void PeerServer::handleQuery(std::string_view target, SimpleHttpServer::Reply reply)
 {
     std::array<std::uint64_t, 5> numbers {};
-    if (!target.starts_with(Prefix) || !readNumbers(target.substr(Prefix.size()), numbers)
+    if (!target.starts_with(TargetPrefix)
+        || !readNumbers(target.substr(TargetPrefix.size()), numbers)
         || numbers[0] >= SharedTableCount)
         return reply({404, {}});
     const auto [table, after, waitMs, receivedUntilMs, changedWithinMs] = numbers;
@@ -160,7 +162,7 @@
     const Time now = steadyNow();
     update.set_told_ms(milliseconds(now));
     // A time in the future comes from an earlier process with another clock and is ignored.
-    const bool known = statesSinceMs <= milliseconds(now);
+    const bool valid = statesSinceMs <= milliseconds(now);
     const auto ageMs = [now](Time at) {
         return static_cast<std::uint64_t>(std::max<std::int64_t>(0, (now - at).count() / 1000));
     };
@@ -170,7 +172,7 @@
         each.set_age_ms(ageMs(at));
     }
     for (const auto &[id, published] : m_engines) {
-        if (known && milliseconds(published.changedAt) < statesSinceMs)
+        if (valid && milliseconds(published.changedAt) < statesSinceMs)
             continue;
         const EngineState &engine = published.state;
         wire::EngineNews &each = *update.add_engines();
@@ -190,9 +192,9 @@
         state.fromStore = false;
 }
 
-/// Whether a query that arrived when the table was known as of \a then is answered because the
-/// table was confirmed since, although it has not changed.
-bool PeerServer::isFresher(SharedTable table, const TableState &state, Time then)
+/// Whether the table was confirmed as unchanged after \a then, so that a waiting query is answered.
+/// Only the age of configuration and endpoints matters to followers.
+bool PeerServer::wasConfirmedSince(SharedTable table, const TableState &state, Time then)
 {
     return (table == SharedTable::Configuration || table == SharedTable::Endpoints)
            && state.knownAt > then;
@@ -206,7 +208,7 @@
         const TableState &state = m_states[index];
         const bool due =
             each.table == index
-            && (state.copy.version() > each.after || isFresher(table, state, each.knownAt));
+            && (state.copy.version() > each.after || wasConfirmedSince(table, state, each.knownAt));
         if (due)
             ready.push_back(std::move(each));
         return due;
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -110,7 +110,7 @@
     static void addCompressed(const CompressedRows &compressed, wire::TableNews &update);
     void addAllRows(std::size_t table, wire::TableNews &update) const;
     void addEngines(std::uint64_t statesSinceMs, wire::TableNews &update) const;
-    static bool isFresher(SharedTable table, const TableState &state, Time then);
+    static bool wasConfirmedSince(SharedTable table, const TableState &state, Time then);
     void expireQueries();
 
     SimpleHttpServer m_server;
--- a/src/entry/storechannel.cpp
+++ b/src/entry/storechannel.cpp
@@ -15,36 +15,36 @@
 
 StoreChannel::~StoreChannel()
 {
-    if (m_running)
-        m_running->cancel();
+    if (m_currentCall)
+        m_currentCall->cancel();
 }
 
 void StoreChannel::call(StoreUse use, OutgoingCall call, CallLimits limits, Callback callback)
 {
-    m_waiting.push_back({use, std::move(call), limits, std::move(callback)});
-    next();
+    m_pendingCalls.push_back({use, std::move(call), limits, std::move(callback)});
+    startNext();
 }
 
-void StoreChannel::next()
+void StoreChannel::startNext()
 {
-    if (m_running || m_waiting.empty())
+    if (m_currentCall || m_pendingCalls.empty())
         return;
-    Waiting waiting = std::move(m_waiting.front());
-    m_waiting.pop_front();
+    PendingCall pending = std::move(m_pendingCalls.front());
+    m_pendingCalls.pop_front();
     ExchangeSettings settings;
     settings.endpoint = "store";
     settings.address = m_address;
-    std::string text = formatRequest(waiting.call, m_address);
-    m_running = std::make_shared<TimedCall>(
-        m_pool, std::move(settings), std::move(text), waiting.limits,
-        [this, sentAt = bootNow(), callback = std::move(waiting.callback)](CallOutcome outcome) {
-            finished(outcome, sentAt, callback);
+    std::string text = formatRequest(pending.call, m_address);
+    m_currentCall = std::make_shared<TimedCall>(
+        m_pool, std::move(settings), std::move(text), pending.limits,
+        [this, sentAt = bootNow(), callback = std::move(pending.callback)](CallOutcome outcome) {
+            callFinished(outcome, sentAt, callback);
         });
-    m_state.storeCalls[static_cast<std::size_t>(waiting.use)] += 1;
-    m_running->start();
+    m_state.storeCalls[static_cast<std::size_t>(pending.use)] += 1;
+    m_currentCall->start();
 }
 
-void StoreChannel::finished(const CallOutcome &outcome, Time sentAt, const Callback &callback)
+void StoreChannel::callFinished(const CallOutcome &outcome, Time sentAt, const Callback &callback)
 {
     StoreAnswer answer;
     answer.mayHaveArrived = outcome.mayHaveArrived;
@@ -55,9 +55,9 @@
     if (answer.reply.kind == StoreReply::Kind::Failed
         || answer.reply.kind == StoreReply::Kind::Rejected)
         m_state.storeFailures += 1;
-    m_running.reset();
+    m_currentCall.reset();
     callback(std::move(answer));
-    next();
+    startNext();
 }
 
 } // namespace balsamloft
--- a/src/entry/storechannel.h
+++ b/src/entry/storechannel.h
@@ -35,7 +35,7 @@
     void call(StoreUse use, OutgoingCall call, CallLimits limits, Callback callback);
 
 private:
-    struct Waiting
+    struct PendingCall
     {
         StoreUse use;
         OutgoingCall call;
@@ -43,15 +43,15 @@
         Callback callback;
     };
 
-    void next();
-    void finished(const CallOutcome &outcome, Time sentAt, const Callback &callback);
+    void startNext();
+    void callFinished(const CallOutcome &outcome, Time sentAt, const Callback &callback);
 
     ConnectionPool m_pool;
     std::string m_address;
     const EntryProtocol &m_protocol;
     EntryState &m_state;
-    std::deque<Waiting> m_waiting;
-    std::shared_ptr<TimedCall> m_running;
+    std::deque<PendingCall> m_pendingCalls;
+    std::shared_ptr<TimedCall> m_currentCall;
 };
 
 } // namespace balsamloft
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -112,7 +112,7 @@
         m_pool.prune(*m_fleet, now);
     }
     if (m_stopping)
-        finishStop();
+        continueStop();
     flushDecisionLog();
     armTimer();
 }
@@ -287,7 +287,7 @@
                   const auto [reply, faultyAddress] =
                       m_protocol.parsePathReply(outcome.status, outcome.body);
                   if (const auto it = m_flights.find(flight); it != m_flights.end())
-                      it->second->note(
+                      it->second->addToTrail(
                           reply == PathReply::Taken
                               ? "path changed"
                               : "path not changed, " + std::to_string(outcome.status)
@@ -328,9 +328,9 @@
 /// they would appear to be still valid.
 void TrafficServer::checkSuspension()
 {
-    constexpr Duration Tolerance {50'000};
+    constexpr Duration SuspensionTolerance {50'000};
     const Duration suspended = bootNow() - steadyNow();
-    if (m_suspendedTime != Duration::max() && suspended - m_suspendedTime > Tolerance)
+    if (m_suspendedTime != Duration::max() && suspended - m_suspendedTime > SuspensionTolerance)
         m_relay.expireTrials();
     m_suspendedTime = suspended;
 }
@@ -352,8 +352,8 @@
             queryEngine(*query);
         } else if (const auto *change = std::get_if<ChangePath>(&action)) {
             if (const auto session = sessionOf(change->flight))
-                session->note("path change at " + change->endpoint + " (" + change->reason + ") to "
-                              + m_protocol.formatPath(change->path));
+                session->addToTrail("path change at " + change->endpoint + " (" + change->reason
+                                    + ") to " + m_protocol.formatPath(change->path));
             changePath(*change);
         } else if (const auto *crashes = std::get_if<PublishCrashes>(&action)) {
             publishCrashes(crashes->news);
@@ -387,7 +387,7 @@
     m_stopped = std::move(stopped);
 }
 
-void TrafficServer::finishStop()
+void TrafficServer::continueStop()
 {
     const Time now = steadyNow();
     if (now - m_stopStartedAt < graceShare(CloseIdleShare))
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -116,7 +116,7 @@
     void publishCrashes(const CrashUpdate &update);
     void requestTrial(const RequestTrial &request);
     void checkSuspension();
-    void finishStop();
+    void continueStop();
     Duration graceShare(double share) const;
 
     boost::asio::io_context &m_context;
--- a/testsuite/entry/entry_process_test.cpp
+++ b/testsuite/entry/entry_process_test.cpp
@@ -32,7 +32,7 @@
     EntryHarness entry;
     std::atomic<bool> released {false};
     RawServer engine(streamWhenReleased(released));
-    entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
+    entry.addEndpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
     std::string answer;
     std::thread caller([&] { answer = entry.post("/stream/x"); });
     waitUntil([&] {
@@ -58,8 +58,8 @@
     RawServer engine(streamWhenReleased(released));
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
-    entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
-    entry.endpoint("e1", "plain", endpoint.address());
+    entry.addEndpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
+    entry.addEndpoint("e1", "plain", endpoint.address());
     std::thread caller([&] { entry.post("/stream/x"); });
     waitUntil([&] { return engine.requests().size() > 1; });
     entry.process->signal(SIGTERM);
--- a/testsuite/entry/entry_test.cpp
+++ b/testsuite/entry/entry_test.cpp
@@ -21,7 +21,7 @@
     EntryHarness entry;
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
-    entry.endpoint("e1", "plain", endpoint.address());
+    entry.addEndpoint("e1", "plain", endpoint.address());
     const std::string answer =
         entry.post("/unsafe/x", "good-key", "Team: forged\r\nX-Own: kept\r\n");
     CHECK(answer.starts_with("HTTP/1.1 200"));
@@ -46,7 +46,7 @@
     EntryHarness entry(true, "3000");
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
-    entry.endpoint("e1", "plain", endpoint.address());
+    entry.addEndpoint("e1", "plain", endpoint.address());
     CHECK(waitUntil([&] { return entry.post("/safe/x", "bad-key").starts_with("HTTP/1.1 401"); }));
     CHECK(entry.answersWith("/safe/x", "done"));
     entry.store.silent = true;
@@ -61,7 +61,7 @@
     EntryHarness entry;
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
-    entry.endpoint("e1", "plain", endpoint.address());
+    entry.addEndpoint("e1", "plain", endpoint.address());
     entry.configure(5, R"({"new-key":"team-b"})", "/moved/");
     CHECK(waitUntil([&] { return entry.post("/moved/x", "new-key").starts_with("HTTP/1.1 200"); }));
     CHECK(entry.post("/safe/x", "new-key").starts_with("HTTP/1.1 404"));
@@ -86,7 +86,7 @@
         std::string("no answer at all\r\n\r\n"));
     EntryHarness entry;
     RawServer bad([&](const std::string &) { return RawAnswer {wrong, RawAnswer::Then::Close}; });
-    entry.endpoint("bad", "plain", bad.address());
+    entry.addEndpoint("bad", "plain", bad.address());
     const std::string unsafe = entry.post("/unsafe/x");
     CHECK(unsafe.starts_with("HTTP/1.1 502"));
     CHECK(unsafe.find("evil") == std::string::npos);
@@ -103,7 +103,7 @@
             count++ == 0 ? okAnswer("\r\nRequest-Id: r1\r\n", "evil") : std::string();
         return RawAnswer {okAnswer(request, "done") + extra};
     });
-    entry.endpoint("e1", "plain", endpoint.address());
+    entry.addEndpoint("e1", "plain", endpoint.address());
     for (int i = 0; i < 5; ++i)
         CHECK(waitUntil([&] {
             const std::string answer = entry.post("/safe/x");
@@ -119,7 +119,7 @@
     RawServer full([](const std::string &) {
         return RawAnswer {"HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"};
     });
-    entry.endpoint("full", "plain", full.address());
+    entry.addEndpoint("full", "plain", full.address());
     const std::string answer = entry.post("/unsafe/x");
     CHECK(answer.starts_with("HTTP/1.1 503"));
     CHECK(answer.find("Retry-After: ") != std::string::npos);
@@ -131,8 +131,8 @@
     const auto then = GENERATE(RawAnswer::Then::Close, RawAnswer::Then::Reset);
     RawServer one([&](const std::string &) { return RawAnswer {"", then}; });
     RawServer two([&](const std::string &) { return RawAnswer {"", then}; });
-    entry.endpoint("one", "plain", one.address());
-    entry.endpoint("two", "plain", two.address());
+    entry.addEndpoint("one", "plain", one.address());
+    entry.addEndpoint("two", "plain", two.address());
     CHECK(entry.post("/unsafe/x").starts_with("HTTP/1.1 502"));
     CHECK(one.requests().size() + two.requests().size() == 1);
 }
@@ -153,8 +153,8 @@
     };
     RawServer a(engine);
     RawServer b(engine);
-    entry.endpoint("a", "model", a.address(), R"(,"layers":[0,4])");
-    entry.endpoint("b", "model", b.address(), R"(,"layers":[0,4])");
+    entry.addEndpoint("a", "model", a.address(), R"(,"layers":[0,4])");
+    entry.addEndpoint("b", "model", b.address(), R"(,"layers":[0,4])");
     const std::string answer = entry.post("/stream/x");
     std::string events;
     for (int i = 1; i <= 4; ++i) {
@@ -179,7 +179,7 @@
             return {okAnswer(request, R"({"layers":[0,4],"orders":1})")};
         return {streamHead(request) + chunk(event(1)), RawAnswer::Then::Close};
     });
-    entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
+    entry.addEndpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
     const std::string answer = entry.post("/stream/x");
     CHECK(answer.find(event(1)) != std::string::npos);
     CHECK_FALSE(answer.ends_with("0\r\n\r\n"));
@@ -193,7 +193,7 @@
             return {okAnswer(request, R"({"layers":[0,4],"orders":1})")};
         return {streamHead(request) + chunk(event(1)), RawAnswer::Then::Silence};
     });
-    entry.endpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
+    entry.addEndpoint("a", "model", engine.address(), R"(,"layers":[0,4])");
     exchange(entry.callers,
              "POST /stream/x HTTP/1.1\r\nHost: h\r\nRequest-Id: r1\r\nTeam-Key: good-key\r\n"
              "Tokens: 10,10\r\nDeadline-Ms: 60000\r\nContent-Length: 0\r\n\r\n",
@@ -206,7 +206,7 @@
     EntryHarness entry;
     RawServer endpoint(
         [](const std::string &request) { return RawAnswer {okAnswer(request, "done")}; });
-    entry.endpoint("e1", "plain", endpoint.address());
+    entry.addEndpoint("e1", "plain", endpoint.address());
     const std::string answer =
         exchange(entry.callers,
                  "POST /safe/x HTTP/1.1\r\nHost: h\r\nRequest-Id: r1\r\nTeam-Key: good-key\r\n"
@@ -223,9 +223,9 @@
     RawServer old([](const std::string &request) { return RawAnswer {okAnswer(request, "old")}; });
     RawServer fresh(
         [](const std::string &request) { return RawAnswer {okAnswer(request, "new")}; });
-    entry.endpoint("old", "plain", old.address());
+    entry.addEndpoint("old", "plain", old.address());
     CHECK(entry.answersWith("/safe/x", "old"));
-    entry.endpoint("fresh", "plain", fresh.address());
+    entry.addEndpoint("fresh", "plain", fresh.address());
     entry.store.put("endpoints", "old",
                     R"({"service":"plain","address":")" + old.address()
                         + R"(","domain":"d","state":"leaving"})");
@@ -248,12 +248,12 @@
     RawServer stays(answerWith("stays"));
     RawServer left(answerWith("left"));
     RawServer later(answerWith("later"));
-    entry.endpoint("stays", "plain", stays.address());
+    entry.addEndpoint("stays", "plain", stays.address());
     CHECK(entry.answersWith("/safe/x", "stays"));
     entry.store.putAndDrop("endpoints", "left",
                            R"({"service":"plain","address":")" + left.address()
                                + R"(","domain":"d","kind":"card"})");
-    entry.endpoint("later", "plain", later.address());
+    entry.addEndpoint("later", "plain", later.address());
     CHECK(entry.answersWith("/safe/x", "later")); // the list has been read since
     for (int i = 0; i < 20; ++i)
         entry.post("/safe/x");
@@ -273,8 +273,8 @@
     RawServer limited(
         [&](const std::string &request) { return answer(request, "Rate-Limit: 0.05\r\n"); });
     RawServer other([&](const std::string &request) { return answer(request, ""); });
-    entry.endpoint("e1", "plain", limited.address());
-    entry.endpoint("e2", "plain", other.address());
+    entry.addEndpoint("e1", "plain", limited.address());
+    entry.addEndpoint("e2", "plain", other.address());
     for (std::size_t i = 0; i < Calls; ++i)
         CHECK(entry.post("/safe/x").starts_with("HTTP/1.1 200"));
     CHECK(limited.requests().size() < Calls / 10);
--- a/testsuite/entry/entryharness.h
+++ b/testsuite/entry/entryharness.h
@@ -157,8 +157,8 @@
                         {"name":"stream","host":"h","prefix":"/stream/","kind":"stream","service":"model"}]})");
     }
 
-    void endpoint(const std::string &id, const std::string &service, const std::string &address,
-                  const std::string &more = "")
+    void addEndpoint(const std::string &id, const std::string &service, const std::string &address,
+                     const std::string &more = "")
     {
         store.put("endpoints", id,
                   R"({"service":")" + service + R"(","address":")" + address
