--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -108,7 +108,10 @@
     void tick();
     void armTimer();
     bool isPlainService(const std::string &id) const;
+    /// A plain service accepted a connection or did not.
     void connectionChecked(const std::string &endpoint, Time sentAt, const CallOutcome &outcome);
+    /// Queries the state of an engine. For a plain service, only checks that it accepts a
+    /// connection.
     void queryEngine(const QueryEngine &query);
 
     void engineAnswered(const std::string &endpoint, Time sentAt, const CallOutcome &outcome);
