--- a/src/libbalsamloft/routerimpl.h
+++ b/src/libbalsamloft/routerimpl.h
@@ -1,5 +1,5 @@
 /// \file
-/// Inside of the traffic core: its state, and what its parts share.
+/// Private state of the traffic core, shared by its source files.
 
 #pragma once
 
@@ -11,37 +11,37 @@
 
 namespace balsamloft {
 
-/// Window over which the drain rate of a target is averaged.
+/// Time constant of the average of a target's drain rate.
 inline constexpr double DrainWindowMicros = 5e6;
 
-/// Rough length of a token, for estimates only.
+/// Approximate length of a token, used in estimates only.
 inline constexpr std::size_t BytesPerToken = 4;
 
-/// Returns a rough count of the tokens of the prompt, at least 1.
+/// Estimates the number of prompt tokens, at least 1.
 std::uint32_t promptTokens(const Request &request);
 
-/// Where a request is on its way.
+/// Phase of a request in flight.
 enum class FlightState : std::uint8_t { Queued, Claiming, Running, Backoff };
 
-/// A request from submission to its answer.
+/// A request in flight: from its submission to its answer.
 struct Flight : boost::intrusive::set_base_hook<>
 {
     Request request;
     FlightState state = FlightState::Queued;
-    bool claimed = false; ///< its key is this request's
-    bool mayHaveExecuted = false; ///< some endpoint may have executed a part
-    bool attemptMayHaveExecuted = false; ///< as mayHaveExecuted, of the present attempt
+    bool claimed = false; ///< its idempotency key is claimed
+    bool mayHaveExecuted = false; ///< an endpoint may have executed a part of it
+    bool attemptMayHaveExecuted = false; ///< the same for the current attempt
     bool prefillPass = false;
     std::uint32_t attempt = 0;
     std::uint32_t retries = 0;
-    std::uint32_t unsent = 0; ///< times that no connection was accepted
-    std::uint32_t silentPeriods = 0;
+    std::uint32_t failedConnects = 0; ///< attempts at which no connection was accepted
+    std::uint32_t silentPeriods = 0; ///< timeouts since the last answer
     std::size_t stage = 0;
     Chain chain;
     EndpointId avoid = NoEndpoint;
-    std::vector<std::string> tokens; ///< given to the caller so far
+    std::vector<std::string> tokens; ///< sent to the caller so far
     double cost = 1;
-    Time timer {}; ///< when tick() has to look at it
+    Time timer {}; ///< when tick() calls timerFired()
     Time submittedAt {};
     Time stepSentAt {};
     Time lastTokenAt {};
@@ -55,18 +55,18 @@
     }
 };
 
-/// A model or service: its queue, its endpoints, and how fast it has been.
+/// A model or service: its queue, its candidate endpoints and its recent speed.
 struct Target
 {
     FairQueue queue;
     CandidateTable table;
-    double finishedCost = 0; ///< decayed, to estimate the drain rate
+    double finishedCost = 0; ///< exponentially decayed, for the drain rate
     Time finishedAt {};
     Time firstFinishAt {};
-    double askedTokens = 0; ///< since the start, refused requests included
-    double tokenMicros = 0; ///< smoothed time between tokens
-    double firstTokenMicros = 0; ///< smoothed time from dispatch to the first token
-    double lengthRatio = 1; ///< smoothed share of max_tokens that is really generated
+    double requestedTokens = 0; ///< since the start, including refused requests
+    double tokenMicros = 0; ///< smoothed, between two tokens
+    double firstTokenMicros = 0; ///< smoothed, from dispatch to the first token
+    double lengthRatio = 1; ///< smoothed, generated tokens over max_tokens
 };
 
 class Router::Impl
@@ -77,8 +77,8 @@
     // Admission (routeradmission.cpp)
     void setConfig(ConfigPtr config, Time now, Actions &actions);
     void submit(Request request, Time now, Actions &actions);
-    void pump(Target &target, Time now, Actions &actions);
-    void pumpAll(Time now, Actions &actions);
+    void dispatchQueued(Target &target, Time now, Actions &actions);
+    void dispatchAllQueues(Time now, Actions &actions);
     void claimAnswered(RequestId id, const ClaimAnswer &answer, Time now, Actions &actions);
 
     // Attempts (routerattempts.cpp)
@@ -123,7 +123,7 @@
 private:
     using Timers = boost::intrusive::set<Flight, boost::intrusive::compare<EarlierTimer>>;
 
-    /// Why a request cannot be admitted.
+    /// Reason for not admitting a request.
     struct Denial
     {
         RefusalCode code;
@@ -136,7 +136,7 @@
     std::optional<Denial> checkLimits(const Request &request, const Team &team, Time now);
     std::optional<Denial> checkDeadline(const Target &target, const Flight &flight,
                                         const Team &team, Time now) const;
-    void pumpOnce(Target &target, Time now, Actions &actions);
+    void dispatchQueuedOnce(Target &target, Time now, Actions &actions);
     void rebuildTargets(Time now, Actions &actions);
     void enqueue(Flight &flight, bool resumed, Time now);
     Duration expectedWait(const Target &target, const Request &request, double share,
@@ -149,33 +149,33 @@
     Flight *find(RequestId id);
     Target &targetOf(const Flight &flight);
     void setTimer(Flight &flight, Time at);
-    Duration silenceAfter(const Flight &flight) const;
-    void tokenDone(Flight &flight, const StepAnswer &answer, Time now, Actions &actions);
+    Duration responseTimeout(const Flight &flight) const;
+    void recordToken(Flight &flight, const StepAnswer &answer, Time now, Actions &actions);
     void release(Flight &flight, Time now);
     void cancelStages(const Flight &flight, EndpointId except, Actions &actions) const;
     void remove(Flight &flight);
-    static void noteFinished(Target &target, double cost, Time now);
+    static void recordFinish(Target &target, double cost, Time now);
 
     // Failures
-    void sendElsewhere(Flight &flight, FailureKind kind, Time now, Actions &actions);
+    void resendUnexecuted(Flight &flight, FailureKind kind, Time now, Actions &actions);
     void backOff(Flight &flight, std::uint32_t tries, Time now);
     void retryOrRefuse(Flight &flight, FailureKind kind, Time now, Actions &actions);
-    void overdue(Flight &flight, Time now, Actions &actions);
+    void handleTimeout(Flight &flight, Time now, Actions &actions);
     void timerFired(Flight &flight, Time now, Actions &actions);
     void probe(EndpointId endpoint, Actions &actions);
     void reported(EndpointId endpoint, const LoadReport &load, Time now, Actions &actions);
-    void checkEndpoints(Time now, Actions &actions);
+    void probeDueEndpoints(Time now, Actions &actions);
 
     static std::string targetKey(TargetKind kind, std::string_view name);
 
     std::unordered_map<RequestId, Flight> m_flights;
-    Timers m_timers; ///< declared after m_flights: unlinked before its nodes go
+    Timers m_timers; ///< after m_flights: must be destroyed before its nodes
     std::unordered_map<std::string, Target, StringHash, std::equal_to<>> m_targets;
     std::set<EndpointId> m_probing;
-    Chain m_chain; ///< scratch
+    Chain m_chain; ///< buffer for the chain being selected
     std::minstd_rand m_random;
-    Time m_pumpAt {};
-    bool m_pumping = false;
+    Time m_dispatchAt {};
+    bool m_dispatching = false;
     Time m_endpointCheckAt {};
 };
 
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -10,44 +10,44 @@
 namespace {
 
 constexpr double Unreached = std::numeric_limits<double>::infinity();
-constexpr double PointsPerMeanWeight = 32;
-constexpr std::size_t MinPoints = 4;
-constexpr int DrawTries = 4;
-constexpr double SpareSteps = 2; ///< left for the first token and the way back
-constexpr double SpareTime = 1.1; ///< left for steps that take longer than usual
+constexpr double RingPointsPerMeanWeight = 32;
+constexpr std::size_t MinRingPoints = 4;
+constexpr int MaxDraws = 4;
+constexpr double MarginSteps = 2; ///< added for the first token and the answer
+constexpr double TimeMargin = 1.1; ///< allows for steps slower than expected
 constexpr int AlertDraws = 16;
-constexpr double StepsUntilSlotFree = 4; // rough, at a full endpoint
+constexpr double StepsUntilSlotFree = 4; // approximate, at a full endpoint
 constexpr std::size_t MaxOwners = 16; ///< of one prefix
-constexpr std::size_t SpareOwners = 2; ///< looked at when the owners are full
-constexpr double OwnersPerFairShare = 4; ///< for demand of one member's fair share
-constexpr std::uint32_t PrefixWindow = 8192; ///< requests over which demand is counted
-constexpr std::size_t AlertSeed = 0xa1e27;
-constexpr double ScaleOfRemoteWeight = 30'000; // microseconds: one usual step
+constexpr std::size_t ExtraOwners = 2; ///< tried if all owners are full
+constexpr double OwnersPerDemandShare = 4; ///< if its demand is one member's share of all
+constexpr std::uint32_t PrefixWindow = 8192; ///< requests until the counts are halved
+constexpr std::size_t AlertHashSeed = 0xa1e27;
+constexpr double RoundTripScaleMicros = 30'000; // one typical step
 
 std::uint64_t ringPoint(std::string_view name, std::size_t point)
 {
     return XXH3_64bits_withSeed(name.data(), name.size(), point);
 }
 
-/// Weight of a draw: work rate, less for endpoints whose round trip is a
-/// large part of a step.
+/// Weight of an endpoint in random draws: its work rate, reduced if the round trip is
+/// long in comparison with a step.
 double drawWeight(const EndpointState &state, Duration latency)
 {
     const auto roundTrip = 2.0 * static_cast<double>(latency.count());
-    return state.speed * state.slots * ScaleOfRemoteWeight / (ScaleOfRemoteWeight + roundTrip);
+    return state.speed * state.slots * RoundTripScaleMicros / (RoundTripScaleMicros + roundTrip);
 }
 
-/// Sets the endpoints aside that only alerts may use. Every instance picks the
-/// same ones without a message. Slots kept free at each endpoint would depend
-/// on reports that lag: several instances fill the same free slot at once.
-void keepForAlerts(CandidateTable::Group &group, const LoadView &loads, std::uint32_t count)
+/// Reserves \a count members for alerts. Every instance selects the same members
+/// without exchanging messages. Reserving slots at each endpoint instead would rely on
+/// delayed load reports, so that several instances could fill the same slot at once.
+void reserveForAlerts(CandidateTable::Group &group, const LoadView &loads, std::uint32_t count)
 {
     if (group.members.size() < 2)
         return;
     std::vector<EndpointId> order = group.members;
     std::sort(order.begin(), order.end(), [&](EndpointId a, EndpointId b) {
-        return ringPoint(loads.state(a).name, AlertSeed)
-               < ringPoint(loads.state(b).name, AlertSeed);
+        return ringPoint(loads.state(a).name, AlertHashSeed)
+               < ringPoint(loads.state(b).name, AlertHashSeed);
     });
     order.resize(std::min<std::size_t>(count, order.size() - 1));
     group.reservedForAlerts = std::move(order);
@@ -61,8 +61,8 @@
     for (std::size_t i = 0; i < group.members.size(); ++i) {
         const double weight = group.cumulativeWeight[i] - previous;
         previous = group.cumulativeWeight[i];
-        const auto points =
-            std::max(MinPoints, static_cast<std::size_t>(PointsPerMeanWeight * weight / mean));
+        const auto points = std::max(
+            MinRingPoints, static_cast<std::size_t>(RingPointsPerMeanWeight * weight / mean));
         const std::string &name = loads.state(group.members[i]).name;
         for (std::size_t point = 0; point < points; ++point)
             group.ring.emplace_back(ringPoint(name, point), static_cast<std::uint32_t>(i));
@@ -101,11 +101,11 @@
                 group.cumulativeWeight.push_back(sum);
             }
             buildRing(group, loads);
-            keepForAlerts(group, loads, alertEndpoints);
+            reserveForAlerts(group, loads, alertEndpoints);
         }
     }
-    // A version that the rules want but no chain holds yet must not take the
-    // model out of service: the others stay as a second choice.
+    // Other versions stay as a fallback, so that the model remains available while no
+    // chain holds the requested version yet.
     std::stable_partition(m_versions.begin(), m_versions.end(), [&](const VersionGroups &version) {
         return version.version == wantedVersion || version.version.empty();
     });
@@ -173,8 +173,8 @@
     };
     const PickFunction pick = Pickers[static_cast<std::size_t>(m_settings.policy)];
 
-    // Cheapest way from layer 0 to each boundary. Groups are sorted by first
-    // layer, so each boundary is final before a group starts from it.
+    // Finds the cheapest chain from layer 0 to each layer boundary. Groups are sorted by
+    // first layer, so the cost of a boundary is final before a group starts there.
     m_bestCost.assign(version.layers + 1, Unreached);
     m_bestPick.resize(version.layers + 1);
     m_bestCost[0] = 0;
@@ -216,21 +216,21 @@
     return decision.loads.hasFreeSlot(id, alert ? m_settings.alertOvercommit : 0, decision.now);
 }
 
-bool ChainChooser::inTime(const Decision &decision, EndpointId id) const
+bool ChainChooser::meetsDeadline(const Decision &decision, EndpointId id) const
 {
     const auto step = static_cast<double>(decision.loads.state(id).stepTime.count());
-    return step * (decision.query.tokens + SpareSteps) * SpareTime
+    return step * (decision.query.tokens + MarginSteps) * TimeMargin
            <= static_cast<double>(decision.query.timeLeft.count());
 }
 
-bool ChainChooser::mayUse(const Decision &decision, EndpointId id) const
+bool ChainChooser::isEligible(const Decision &decision, EndpointId id) const
 {
-    const bool kept = decision.query.priority != Priority::Alert
-                      && std::find(decision.group.reservedForAlerts.begin(),
-                                   decision.group.reservedForAlerts.end(), id)
-                             != decision.group.reservedForAlerts.end();
-    return !kept && id != decision.query.avoid && decision.loads.usable(id)
-           && hasFreeSlot(decision, id) && inTime(decision, id);
+    const bool reserved = decision.query.priority != Priority::Alert
+                          && std::find(decision.group.reservedForAlerts.begin(),
+                                       decision.group.reservedForAlerts.end(), id)
+                                 != decision.group.reservedForAlerts.end();
+    return !reserved && id != decision.query.avoid && decision.loads.usable(id)
+           && hasFreeSlot(decision, id) && meetsDeadline(decision, id);
 }
 
 double ChainChooser::cost(const Decision &decision, EndpointId id, bool byAffinity) const
@@ -241,15 +241,16 @@
     const double missRate = byAffinity ? 1 - state.prefixHitRate : 1;
     const double prefill = static_cast<double>(m_settings.prefillPerToken.count())
                            * decision.query.promptTokens * missRate / state.speed;
-    const double present = decision.loads.expectedLoad(id, decision.now);
-    const double load = present / state.slots;
+    const double expectedLoad = decision.loads.expectedLoad(id, decision.now);
+    const double load = expectedLoad / state.slots;
     const double compute = (static_cast<double>(stepTime.count()) + prefill) * (1 + load);
-    // Beyond the slots it waits for one to come free.
-    const double ahead = std::max(0.0, present - state.slots + 1);
-    const double wait = ahead * StepsUntilSlotFree * static_cast<double>(stepTime.count());
-    // The inventory knows the link as it should be; steps show how it is.
-    const Duration way = std::max(2 * m_latency[id], decision.loads.roundTrip(id, decision.now));
-    return compute + wait + static_cast<double>(way.count());
+    // At a full endpoint the request waits for a slot to become free.
+    const double waitingAhead = std::max(0.0, expectedLoad - state.slots + 1);
+    const double wait = waitingAhead * StepsUntilSlotFree * static_cast<double>(stepTime.count());
+    // The inventory has the nominal latency of the link, recent steps show the actual one.
+    const Duration roundTrip =
+        std::max(2 * m_latency[id], decision.loads.roundTrip(id, decision.now));
+    return compute + wait + static_cast<double>(roundTrip.count());
 }
 
 EndpointId ChainChooser::drawByWeight(const CandidateTable::Group &group)
@@ -262,18 +263,18 @@
     return group.members[index];
 }
 
-ChainChooser::Pick ChainChooser::scan(const Decision &decision)
+ChainChooser::Pick ChainChooser::scanGroup(const Decision &decision)
 {
     const auto &members = decision.group.members;
     const std::size_t offset = m_random() % members.size();
     for (std::size_t i = 0; i < members.size(); ++i) {
         const EndpointId id = members[(offset + i) % members.size()];
-        if (mayUse(decision, id))
+        if (isEligible(decision, id))
             return {id, cost(decision, id, false), false};
     }
-    // The floor under ejection: when the usable members are all full or gone,
-    // at least the given fraction of the group still counts as usable, so
-    // that a burst of failures cannot eject the whole fleet.
+    // Limits the ejections: if no usable member is left and more than maxEjectedFraction
+    // of the group is ejected, ejected members are used too, so that a burst of failures
+    // can't disable the complete group.
     std::size_t ejected = 0;
     for (const EndpointId id : members)
         ejected += decision.loads.ejected(id) ? 1 : 0;
@@ -293,22 +294,22 @@
 
 ChainChooser::Pick ChainChooser::pickBestOfTwo(const Decision &decision)
 {
-    // Alerts look further: they are few, and what they must not do is wait.
+    // Alerts compare more members: alerts are rare and must not wait.
     const bool alert = decision.query.priority == Priority::Alert;
-    const int tries = alert ? AlertDraws : DrawTries;
+    const int tries = alert ? AlertDraws : MaxDraws;
     const int wanted = alert ? AlertDraws : 2;
     Pick best;
     int found = 0;
     for (int attempt = 0; attempt < tries && found < wanted; ++attempt) {
         const EndpointId id = drawByWeight(decision.group);
-        if (!mayUse(decision, id))
+        if (!isEligible(decision, id))
             continue;
         ++found;
         const double expected = cost(decision, id, false);
         if (best.endpoint == NoEndpoint || expected < best.cost)
             best = {id, expected, false};
     }
-    return best.endpoint == NoEndpoint ? scan(decision) : best;
+    return best.endpoint == NoEndpoint ? scanGroup(decision) : best;
 }
 
 std::size_t ChainChooser::ownersOf(std::uint64_t prefixHash, std::size_t members)
@@ -323,7 +324,7 @@
     ++count;
     const double share = static_cast<double>(count) / m_prefixTotal;
     const auto owners =
-        1 + static_cast<std::size_t>(share * static_cast<double>(members) * OwnersPerFairShare);
+        1 + static_cast<std::size_t>(share * static_cast<double>(members) * OwnersPerDemandShare);
     return std::min(owners, MaxOwners);
 }
 
@@ -333,14 +334,14 @@
     const std::size_t owners = ownersOf(decision.query.prefixHash, decision.group.members.size());
     const std::pair<std::uint64_t, std::uint32_t> first {decision.query.prefixHash, 0};
     auto it = std::lower_bound(ring.begin(), ring.end(), first);
-    boost::container::static_vector<EndpointId, MaxOwners + SpareOwners> seen;
+    boost::container::static_vector<EndpointId, MaxOwners + ExtraOwners> seen;
     Pick best;
-    bool bestInBound = false;
-    for (std::size_t walked = 0; walked < ring.size(); ++walked) {
-        // A prefix in great demand has several owners and uses the least
-        // loaded; others have one, and go on to the next only when it is full.
-        const bool enough = seen.size() >= owners && bestInBound;
-        if (enough || seen.size() == owners + SpareOwners)
+    bool bestHasHeadroom = false;
+    for (std::size_t visited = 0; visited < ring.size(); ++visited) {
+        // A prefix in high demand has several owners, of which the cheapest is used.
+        // Any other prefix has one owner, and the next member is used if it is full.
+        const bool enough = seen.size() >= owners && bestHasHeadroom;
+        if (enough || seen.size() == owners + ExtraOwners)
             break;
         if (it == ring.end())
             it = ring.begin();
@@ -349,25 +350,26 @@
         if (std::find(seen.begin(), seen.end(), id) != seen.end())
             continue;
         seen.push_back(id);
-        if (!mayUse(decision, id))
+        if (!isEligible(decision, id))
             continue;
         const Pick pick {id, cost(decision, id, true), true};
-        const bool inBound = decision.loads.expectedLoad(id, decision.now)
-                             <= m_settings.affinityMaxUtilization * decision.loads.state(id).slots;
+        const bool hasHeadroom =
+            decision.loads.expectedLoad(id, decision.now)
+            <= m_settings.affinityMaxUtilization * decision.loads.state(id).slots;
         if (best.endpoint == NoEndpoint
-            || std::pair(!inBound, pick.cost) < std::pair(!bestInBound, best.cost)) {
+            || std::pair(!hasHeadroom, pick.cost) < std::pair(!bestHasHeadroom, best.cost)) {
             best = pick;
-            bestInBound = inBound;
+            bestHasHeadroom = hasHeadroom;
         }
     }
     return best;
 }
 
-ChainChooser::Pick ChainChooser::pickKept(const Decision &decision) const
+ChainChooser::Pick ChainChooser::pickReserved(const Decision &decision) const
 {
     Pick best;
     for (const EndpointId id : decision.group.reservedForAlerts) {
-        // Without overcommitment: a full one is no better than any other.
+        // Without overcommitment: a full reserved endpoint has no advantage over others.
         if (!decision.loads.usable(id) || id == decision.query.avoid
             || !decision.loads.hasFreeSlot(id, 0, decision.now))
             continue;
@@ -381,9 +383,9 @@
 ChainChooser::Pick ChainChooser::pickDefault(const Decision &decision)
 {
     if (decision.query.priority == Priority::Alert) {
-        const Pick kept = pickKept(decision);
-        if (kept.endpoint != NoEndpoint)
-            return kept;
+        const Pick reserved = pickReserved(decision);
+        if (reserved.endpoint != NoEndpoint)
+            return reserved;
     }
     const Pick drawn = pickBestOfTwo(decision);
     const bool affinity = decision.query.prefixHash != 0 && decision.group.layers.begin == 0
@@ -395,9 +397,9 @@
         return drawn;
     const double tolerance =
         1 + m_settings.affinityCostTolerance * decision.loads.state(owner.endpoint).prefixHitRate;
-    // The owner's cost counts the cache hits it has really had, so affinity
-    // gives way by itself where caches are too small or events were lost. A
-    // pick that costs no more than an ordinary one also keeps caches warm.
+    // The owner's cost and the tolerance depend on its observed hit rate, so affinity
+    // decreases where caches are too small or have been lost. An owner that costs no more
+    // than the drawn member is always used, which keeps its cache warm.
     return drawn.endpoint == NoEndpoint || owner.cost <= drawn.cost * tolerance ? owner : drawn;
 }
 
@@ -405,7 +407,8 @@
 {
     const auto &members = decision.group.members;
     const EndpointId id = members[m_random() % members.size()];
-    return mayUse(decision, id) ? Pick {id, cost(decision, id, false), false} : scan(decision);
+    return isEligible(decision, id) ? Pick {id, cost(decision, id, false), false}
+                                    : scanGroup(decision);
 }
 
 ChainChooser::Pick ChainChooser::pickRoundRobin(const Decision &decision)
@@ -413,7 +416,7 @@
     const auto &members = decision.group.members;
     for (std::size_t i = 0; i < members.size(); ++i) {
         const EndpointId id = members[m_roundRobin++ % members.size()];
-        if (mayUse(decision, id))
+        if (isEligible(decision, id))
             return {id, cost(decision, id, false), false};
     }
     return {};
@@ -425,7 +428,7 @@
     std::uint32_t least = ~0U;
     for (const EndpointId id : decision.group.members) {
         const std::uint32_t load = decision.loads.estimatedLoad(id, decision.now);
-        if (load >= least || !mayUse(decision, id))
+        if (load >= least || !isEligible(decision, id))
             continue;
         least = load;
         best = {id, cost(decision, id, false), false};
--- a/src/libbalsamloft/routing_test.cpp
+++ b/src/libbalsamloft/routing_test.cpp
@@ -10,7 +10,7 @@
 
 const Time Now(std::chrono::hours(1));
 
-struct Row
+struct EndpointRow
 {
     std::string name;
     LayerRange layers;
@@ -20,10 +20,10 @@
     std::uint32_t slots = 4;
 };
 
-/// A small world for the chooser: one model of 8 layers, two domains.
-struct World
+/// A configuration of one model of 8 layers and two failure domains, with a ChainChooser.
+struct RoutingFixture
 {
-    explicit World(const std::vector<Row> &rows, std::uint32_t alertEndpoints = 0)
+    explicit RoutingFixture(const std::vector<EndpointRow> &rows, std::uint32_t alertEndpoints = 0)
         : chooser({}, "near", 1)
     {
         ConfigEntries entries {
@@ -33,7 +33,7 @@
             {"rules/models/m", R"({"name":"m","layers":8,"version":"1","alert_endpoints":)"
                                    + std::to_string(alertEndpoints) + "}"}};
         int port = 1;
-        for (const Row &row : rows)
+        for (const EndpointRow &row : rows)
             entries["inventory/endpoints/" + row.name] =
                 R"({"name":")" + row.name + R"(","address":"10.0.0.1:)" + std::to_string(port++)
                 + R"(","domain":")" + row.domain + R"(","model":"m","version":")" + row.version
@@ -77,101 +77,104 @@
 
 } // namespace
 
-TEST_CASE("chains cover all layers once, also over unlike splits", "[routing]")
+TEST_CASE("chains cover each layer exactly once with different layer splits", "[routing]")
 {
-    World world({{"a", {0, 4}}, {"b", {4, 8}}, {"c", {0, 2}}, {"d", {2, 8}}, {"x", {3, 8}}});
-    for (const auto &[chain, count] : world.counts(50))
+    RoutingFixture fixture(
+        {{"a", {0, 4}}, {"b", {4, 8}}, {"c", {0, 2}}, {"d", {2, 8}}, {"x", {3, 8}}});
+    for (const auto &[chain, count] : fixture.counts(50))
         CHECK((chain == "a>b" || chain == "c>d"));
 }
 
-TEST_CASE("no chain with a full or leaving stage", "[routing]")
+TEST_CASE("no chain contains a full or leaving endpoint", "[routing]")
 {
-    World world({{"a", {0, 4}}, {"b", {4, 8}, "1", "near", 1, 1}});
-    CHECK(world.choose() == "a>b");
-    world.loads.dispatched(world.loads.find("b"), Now);
-    CHECK(world.choose() == "none");
-    world.loads.released(world.loads.find("b"), Now);
-    world.loads.setLeaving(world.loads.find("a"), true);
-    CHECK(world.choose() == "none");
+    RoutingFixture fixture({{"a", {0, 4}}, {"b", {4, 8}, "1", "near", 1, 1}});
+    CHECK(fixture.choose() == "a>b");
+    fixture.loads.dispatched(fixture.loads.find("b"), Now);
+    CHECK(fixture.choose() == "none");
+    fixture.loads.released(fixture.loads.find("b"), Now);
+    fixture.loads.setLeaving(fixture.loads.find("a"), true);
+    CHECK(fixture.choose() == "none");
 }
 
-TEST_CASE("one version throughout, the wanted one first", "[routing]")
+TEST_CASE("all stages have the same version, if possible the requested one", "[routing]")
 {
-    World both(
+    RoutingFixture both(
         {{"a1", {0, 4}, "1"}, {"b1", {4, 8}, "1"}, {"a2", {0, 4}, "2"}, {"b2", {4, 8}, "2"}});
     CHECK(both.counts(20) == std::map<std::string, int> {{"a1>b1", 20}});
     both.loads.setLeaving(both.loads.find("b1"), true);
     CHECK(both.counts(20) == std::map<std::string, int> {{"a2>b2", 20}});
 }
 
-TEST_CASE("near endpoints go before far ones while they have room", "[routing]")
+TEST_CASE("near endpoints are preferred while they have free slots", "[routing]")
 {
-    World world({{"near", {0, 8}}, {"far", {0, 8}, "1", "far"}});
-    CHECK(world.counts(50)["near"] >= 45);
+    RoutingFixture fixture({{"near", {0, 8}}, {"far", {0, 8}, "1", "far"}});
+    CHECK(fixture.counts(50)["near"] >= 45);
     for (int i = 0; i < 4; ++i)
-        world.loads.dispatched(world.loads.find("near"), Now);
-    CHECK(world.choose() == "far");
+        fixture.loads.dispatched(fixture.loads.find("near"), Now);
+    CHECK(fixture.choose() == "far");
 }
 
-TEST_CASE("five times the speed draws about five times the work", "[routing]")
+TEST_CASE("an endpoint of five times the speed gets over two thirds of the requests", "[routing]")
 {
-    World world({{"fast", {0, 8}, "1", "near", 5, 1000}, {"slow", {0, 8}, "1", "near", 1, 1000}});
+    RoutingFixture fixture(
+        {{"fast", {0, 8}, "1", "near", 5, 1000}, {"slow", {0, 8}, "1", "near", 1, 1000}});
     int fast = 0;
     for (int i = 0; i < 600; ++i) {
-        const std::string name = world.choose();
+        const std::string name = fixture.choose();
         fast += name == "fast" ? 1 : 0;
     }
     CHECK(fast > 600 * 4 / 6);
 }
 
-TEST_CASE("the endpoint that failed is avoided while there is another", "[routing]")
+TEST_CASE("an endpoint to avoid is used only if there is no other", "[routing]")
 {
-    World world({{"a", {0, 8}}, {"b", {0, 8}}});
+    RoutingFixture fixture({{"a", {0, 8}}, {"b", {0, 8}}});
     RouteQuery query;
-    query.avoid = world.loads.find("a");
-    CHECK(world.counts(20, query) == std::map<std::string, int> {{"b", 20}});
-    world.loads.setLeaving(world.loads.find("b"), true);
-    CHECK(world.choose(query) == "a");
+    query.avoid = fixture.loads.find("a");
+    CHECK(fixture.counts(20, query) == std::map<std::string, int> {{"b", 20}});
+    fixture.loads.setLeaving(fixture.loads.find("b"), true);
+    CHECK(fixture.choose(query) == "a");
 }
 
-TEST_CASE("ejection has a floor: it cannot empty a group", "[routing][failure]")
+TEST_CASE("a group is still used after all its members have been ejected", "[routing][failure]")
 {
-    // Callers are served by what may yet work. A burst of failures ejects all
-    // four members; at most half may count as ejected, so all are tried again.
-    World world({{"a", {0, 8}}, {"b", {0, 8}}, {"c", {0, 8}}, {"d", {0, 8}}});
+    // A burst of failures ejects all four members. More than half of them are ejected, so
+    // ejected members are used again, since some of them may work.
+    RoutingFixture fixture({{"a", {0, 8}}, {"b", {0, 8}}, {"c", {0, 8}}, {"d", {0, 8}}});
     for (const auto *name : {"a", "b"})
-        world.loads.failed(world.loads.find(name), true, Now);
-    for (const auto &[chain, count] : world.counts(30))
+        fixture.loads.failed(fixture.loads.find(name), true, Now);
+    for (const auto &[chain, count] : fixture.counts(30))
         CHECK((chain == "c" || chain == "d"));
     for (const auto *name : {"c", "d"})
-        world.loads.failed(world.loads.find(name), true, Now);
-    CHECK(world.choose() != "none");
+        fixture.loads.failed(fixture.loads.find(name), true, Now);
+    CHECK(fixture.choose() != "none");
 }
 
-TEST_CASE("kept endpoints serve alerts alone, and the same everywhere", "[routing]")
+TEST_CASE("all instances reserve the same endpoint for alerts alone", "[routing]")
 {
-    const std::vector<Row> rows {{"a", {0, 8}}, {"b", {0, 8}}, {"c", {0, 8}}, {"d", {0, 8}}};
-    World first(rows, 1);
-    World second(rows, 1);
+    const std::vector<EndpointRow> rows {
+        {"a", {0, 8}}, {"b", {0, 8}}, {"c", {0, 8}}, {"d", {0, 8}}};
+    RoutingFixture first(rows, 1);
+    RoutingFixture second(rows, 1);
     RouteQuery alert;
     alert.priority = Priority::Alert;
-    const std::string kept = first.choose(alert);
-    CHECK(second.choose(alert) == kept);
-    CHECK(first.counts(100).count(kept) == 0);
-    // Alerts overflow to the others when it is full.
+    const std::string reserved = first.choose(alert);
+    CHECK(second.choose(alert) == reserved);
+    CHECK(first.counts(100).count(reserved) == 0);
+    // Alerts use other endpoints while the reserved one is full.
     for (int i = 0; i < 4; ++i)
-        first.loads.dispatched(first.loads.find(kept), Now);
+        first.loads.dispatched(first.loads.find(reserved), Now);
     CHECK(first.choose(alert) != "none");
-    CHECK(first.choose(alert) != kept);
+    CHECK(first.choose(alert) != reserved);
 }
 
-TEST_CASE("a prefix keeps its owner on every instance", "[routing]")
+TEST_CASE("all instances assign a prefix to the same owner", "[routing]")
 {
-    std::vector<Row> rows;
+    std::vector<EndpointRow> rows;
     for (int i = 0; i < 10; ++i)
         rows.push_back({"e" + std::to_string(i), {0, 8}, "1", "near", 1, 1000});
-    World first(rows);
-    World second(rows);
+    RoutingFixture first(rows);
+    RoutingFixture second(rows);
     std::map<std::string, int> owners;
     for (std::uint64_t prefix = 1; prefix <= 200; ++prefix) {
         RouteQuery query;
--- a/src/libbalsamloft/teamlimits.cpp
+++ b/src/libbalsamloft/teamlimits.cpp
@@ -7,13 +7,12 @@
 
 namespace {
 
-constexpr double BurstSeconds = 1; // what a team may save up
+constexpr double BurstSeconds = 1; // of the rate, available as a burst
 constexpr double MicrosPerSecond = 1e6;
 
 double burst(double rate)
 {
-    // At least one whole request, or a small part of a small limit would
-    // never admit anything.
+    // At least one request: a small fraction of a small limit would never admit any.
     return std::max(1.0, rate * BurstSeconds);
 }
 
--- a/src/libbalsamloft/tracelog.h
+++ b/src/libbalsamloft/tracelog.h
@@ -1,5 +1,5 @@
 /// \file
-/// Remembers the decisions on recent requests, for `explain`.
+/// Log of the decisions on recent requests, for the command `explain`.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace balsamloft {
 
-/// A bounded log of decisions; the oldest go first.
+/// A log with a fixed capacity that overwrites its oldest entries.
 class TraceLog
 {
 public:
@@ -25,7 +25,7 @@
         m_entries.push_back({request, at, std::move(text)});
     }
 
-    /// Returns the lines on \a request, each with the milliseconds since the first.
+    /// Returns the entries of \a request, each with the milliseconds since the first one.
     std::vector<std::string> lines(RequestId request) const
     {
         std::vector<std::string> result;
