--- a/src/balsamloftd/controlplane.cpp
+++ b/src/balsamloftd/controlplane.cpp
@@ -199,7 +199,7 @@
         {"balsamloft_lease_held", m_lease.holds(steadyNow()) ? 1U : 0U},
         {"balsamloft_placement_loads_total", m_placement.loadsOrdered()},
         {"balsamloft_claims_pending", m_claims.pending()},
-        {"balsamloft_claims_unsettled", m_claims.unresolved()},
+        {"balsamloft_claims_unsettled", m_claims.pendingResolutions()},
         {"balsamloft_claims_written_total", m_claims.claimsWritten()},
         {"balsamloft_claim_transactions_total", m_claims.transactions()},
         {"balsamloft_claim_settles_dropped_total", m_claims.resolutionsDropped()},
--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -57,7 +57,10 @@
     const DaemonSettings &settings() const { return m_settings; }
     std::span<TrafficWorker *const> workers() const { return m_workers; }
     boost::asio::io_context &context() { return m_context; }
-    std::size_t unsettledClaims() const { return m_claims.pending() + m_claims.unresolved(); }
+    std::size_t unsettledClaims() const
+    {
+        return m_claims.pending() + m_claims.pendingResolutions();
+    }
     void setDrainHandler(std::function<void()> handler) { m_drain = std::move(handler); }
     void drain();
     std::uint64_t incarnation() const { return m_incarnation; }
--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -19,7 +19,7 @@
     Duration claimTimeout {2'000'000}; ///< then the claim is answered as Unavailable
     Duration retryDelay {50'000};
     Duration maxRetryDelay {2'000'000};
-    std::size_t maxUnresolved = 20'000; ///< resolved claims that wait to be written
+    std::size_t maxPendingResolutions = 20'000; ///< outcomes of claims not written yet
     std::size_t maxStoredAnswerBytes = 256 * 1024; ///< longer answers are not stored for retries
 };
 
@@ -32,14 +32,14 @@
     auto operator<=>(const ClaimOwner &) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-/// Asks the caller of ClaimManager to run a transaction and pass on its outcome.
+/// Asks to run a transaction and to pass its outcome to ClaimManager::transactionDone().
 struct RunClaimTransaction
 {
     std::uint64_t id = 0;
     Transaction transaction;
 };
 
-/// Asks for a read of one row of the claim table.
+/// Asks to read a row of ClaimTable and to pass it to ClaimManager::readDone().
 struct ReadClaimRow
 {
     std::uint64_t id = 0;
@@ -78,7 +78,7 @@
     void claim(ClaimOwner owner, const StartClaim &claim, Time now, ClaimActions &actions);
 
     /// Writes the outcome of a claim that was won.
-    void resolve(ClaimOwner owner, ClaimOutcome end, const Answer &answer, Time now,
+    void resolve(ClaimOwner owner, ClaimOutcome outcome, const Answer &answer, Time now,
                  ClaimActions &actions);
     void transactionDone(std::uint64_t id, const TransactionOutcome &outcome, Time now,
                          ClaimActions &actions);
@@ -89,9 +89,9 @@
 
     std::optional<Time> nextWakeup() const;
     std::size_t pending() const { return m_claims.size(); }
-    std::size_t unresolved() const { return m_resolutions.size(); }
+    std::size_t pendingResolutions() const { return m_resolutions.size(); }
     std::uint64_t transactions() const { return m_transactions; }
-    std::uint64_t claimsWritten() const { return m_claimsCommitted; }
+    std::uint64_t claimsWritten() const { return m_claimsWritten; }
     std::uint64_t resolutionsDropped() const { return m_resolutionsDropped; }
 
 private:
@@ -135,7 +135,7 @@
     void outcomeUnknown(Batch batch, Time now, ClaimActions &actions);
     void notCommitted(Batch batch, Time now);
     void expire(Claim &claim, ClaimActions &actions);
-    Duration delay(std::uint32_t attempts) const;
+    Duration backoff(std::uint32_t attempts) const;
     std::string claimedValue(const Claim &claim) const;
     void rowFound(Claim &claim, const TableRow &row, Time now, ClaimActions &actions);
 
@@ -148,7 +148,7 @@
     std::map<std::uint64_t, ClaimOwner> m_reads;
     std::uint64_t m_nextId = 1;
     std::uint64_t m_transactions = 0;
-    std::uint64_t m_claimsCommitted = 0;
+    std::uint64_t m_claimsWritten = 0;
     std::uint64_t m_resolutionsDropped = 0;
 };
 
--- a/src/include/balsamloft/fairqueue.h
+++ b/src/include/balsamloft/fairqueue.h
@@ -24,7 +24,7 @@
     double share = 1; ///< weight of the team, greater than zero
     Priority priority = Priority::Normal;
     Time deadline {};
-    double cost = 1; ///< expected work in tokens; teams share the total cost
+    double cost = 1; ///< expected work in tokens, to which the shares apply
 };
 
 /// Orders waiting requests: strict priority between priority classes, weighted fair
--- a/src/include/balsamloft/ratelimits.h
+++ b/src/include/balsamloft/ratelimits.h
@@ -34,8 +34,8 @@
 /// are assigned round-robin, three of four to instances of the endpoint's own failure domain,
 /// which send most of its requests, and the fourth to those of other domains. The instances
 /// exchange no messages for this, and the limit also holds while some of them are down,
-/// partitioned or not listed, since none exceeds its own slots. Token buckets would not do:
-/// with one saved request per instance, hundreds could be sent at the same moment.
+/// partitioned or not listed, since none exceeds its own slots. With a token bucket that saves up
+/// one request at each instance, hundreds of instances could send at the same moment.
 class RateLimits
 {
 public:
@@ -83,8 +83,8 @@
     {
         double perSecond = 0;
         std::string domain;
-        Rotation ownDomain; ///< three of four slots
-        Rotation otherDomains; ///< the remaining slots
+        Rotation endpointDomain; ///< for three of four slots
+        Rotation otherDomains; ///< for the remaining slots
         Time lastAnswerAt {};
         Time sentAt {};
         double usedUntil = 0; ///< slots up to then are used up; seconds of the shared clock
--- a/src/include/balsamloft/retrybudget.h
+++ b/src/include/balsamloft/retrybudget.h
@@ -13,7 +13,7 @@
 struct RetryBudgetSettings
 {
     double perRequest = 0.1; ///< retries granted for each first attempt
-    double perSecond = 1; ///< retries granted per second without any requests, for idle instances
+    double perSecond = 1; ///< retries granted per second, also to idle instances
     double maxBalance = 100; ///< maximum number of unused retries
     double initialBalance = -1; ///< retries available at the start; negative: maxBalance
 };
@@ -62,8 +62,8 @@
 
     void requestStarted(Time now);
 
-    /// Counts one retry. Returns false if fewer retries are left than one beyond the share
-    /// \a reserved of the slack, which is kept for more important requests.
+    /// Counts one retry. Returns false, without counting, unless a retry is left beyond
+    /// \a reserved, the share of the slack that is kept for more important requests.
     bool withdraw(Time now, double reserved = 0);
 
     void setSlack(double slack) { m_settings.slack = slack; }
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -98,7 +98,7 @@
     Duration targetLatency {};
     Duration targetEventGap {}; ///< longest pause between two events that meets the target
     int priority = 0; ///< 0 is the highest
-    std::uint32_t maxAttempts = 1; ///< for one request, the first one included
+    std::uint32_t maxAttempts = 1; ///< number of endpoints that may execute one request
     bool anonymous = false; ///< accepts requests without an API key
     bool resumable = false; ///< a stream may continue at another endpoint
     std::vector<RouteTarget> targets; ///< at least one
--- a/src/include/balsamloft/router.h
+++ b/src/include/balsamloft/router.h
@@ -24,11 +24,11 @@
     Duration minStepTimeout {400'000}; ///< lower bound of the timeout of a decode step
     Duration minPrefillTimeout {600'000}; ///< the same for the first pass of an attempt
     Duration serviceCallTimeout {2'000'000}; ///< until a service call counts as unanswered
-    double stepTimeoutFactor = 6; ///< timeout of a step over its expected time
-    std::uint32_t maxSilentPeriods = 4; ///< timeouts that a non-idempotent attempt survives
+    double stepTimeoutFactor = 6; ///< multiple of the expected time that a step may take
+    std::uint32_t maxSilentPeriods = 4; ///< timeouts tolerated for a non-idempotent request
     Duration retryBackoff {50'000}; ///< base of the exponential backoff
-    Duration endpointCheckInterval {1'000'000}; ///< between checks for endpoints due for a probe
-    Duration dispatchInterval {20'000}; ///< longest time between looks at the queues
+    Duration endpointCheckInterval {1'000'000}; ///< between searches for endpoints to probe
+    Duration dispatchInterval {20'000}; ///< longest time between two dispatches of queued requests
     LoadSettings load;
     RoutingSettings routing;
     RetryBudgetSettings retry;
--- a/src/include/balsamloft/routing.h
+++ b/src/include/balsamloft/routing.h
@@ -36,12 +36,11 @@
 struct RoutingSettings
 {
     RoutingPolicy policy = RoutingPolicy::Default;
-    double affinityMaxUtilization =
-        0.95; ///< load over slots up to which a prefix owner is preferred
-    double affinityCostTolerance = 3; ///< accepted extra cost of an owner with hit rate 1, relative
+    double affinityMaxUtilization = 0.95; ///< share of used slots up to which owners are preferred
+    double affinityCostTolerance = 3; ///< relative extra cost accepted of an owner with hit rate 1
     Duration defaultStepTime {30'000}; ///< assumed until an endpoint reports its own
     Duration prefillPerToken {200}; ///< at an endpoint of speed 1, over all layers
-    std::uint32_t alertOvercommit = 2; ///< alerts sent beyond the slots; engines run them first
+    std::uint32_t alertOvercommit = 2; ///< alerts that a full endpoint gets; it runs them first
 };
 
 /// Requirements of one request on its chain.
@@ -93,7 +92,7 @@
     void add(const Endpoint &endpoint, const LoadView &loads, const LayerRange &layers,
              std::uint32_t modelLayers);
     void finish(const Config &config, const LoadView &loads, std::string_view domain,
-                std::string_view wantedVersion, std::uint32_t alertEndpoints);
+                std::string_view requestedVersion, std::uint32_t alertEndpoints);
 
     std::vector<VersionGroups> m_versions;
 };
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -59,7 +59,7 @@
     flush(now, actions);
 }
 
-void ClaimManager::resolve(ClaimOwner owner, ClaimOutcome end, const Answer &answer, Time now,
+void ClaimManager::resolve(ClaimOwner owner, ClaimOutcome outcome, const Answer &answer, Time now,
                            ClaimActions &actions)
 {
     const auto it = m_won.find(owner);
@@ -67,16 +67,16 @@
         return;
     const Claim claim = std::move(it->second);
     m_won.erase(it);
-    if (end == ClaimOutcome::Unknown)
+    if (outcome == ClaimOutcome::Unknown)
         return; // the row stays claimed and is never taken over
     Resolution resolution;
     resolution.rowKey = claim.rowKey;
     resolution.version = claim.version;
     resolution.value = json::serialize(json::object {{"state", FreeState}});
-    if (end == ClaimOutcome::Finished)
+    if (outcome == ClaimOutcome::Finished)
         resolution.value = finishedValue(claim.nonce, claim.contentDigest, answer,
                                          answer.body.size() <= m_settings.maxStoredAnswerBytes);
-    if (m_resolutions.size() >= m_settings.maxUnresolved) {
+    if (m_resolutions.size() >= m_settings.maxPendingResolutions) {
         // Bounds the memory. The oldest row stays claimed, so a retry with its key is
         // refused with an unknown outcome and not executed again.
         m_resolutions.pop_front();
@@ -176,7 +176,7 @@
 
 void ClaimManager::committed(const Batch &batch, Time now, ClaimActions &actions)
 {
-    m_claimsCommitted += batch.claims.size();
+    m_claimsWritten += batch.claims.size();
     for (const ClaimOwner &owner : batch.claims) {
         const auto it = m_claims.find(owner);
         if (it == m_claims.end())
@@ -219,7 +219,7 @@
         readRow(it->second, actions);
     }
     for (Resolution &resolution : batch.resolutions) {
-        resolution.retryAt = now + delay(resolution.attempts++);
+        resolution.retryAt = now + backoff(resolution.attempts++);
         m_resolutions.push_back(std::move(resolution));
     }
 }
@@ -232,19 +232,19 @@
             retryLater(it->second, now);
     }
     for (Resolution &resolution : batch.resolutions) {
-        resolution.retryAt = now + delay(resolution.attempts++);
+        resolution.retryAt = now + backoff(resolution.attempts++);
         m_resolutions.push_back(std::move(resolution));
     }
 }
 
-Duration ClaimManager::delay(std::uint32_t attempts) const
+Duration ClaimManager::backoff(std::uint32_t attempts) const
 {
     return exponentialBackoff(m_settings.retryDelay, attempts, m_settings.maxRetryDelay);
 }
 
 void ClaimManager::retryLater(Claim &claim, Time now)
 {
-    claim.retryAt = now + delay(claim.attempts++);
+    claim.retryAt = now + backoff(claim.attempts++);
 }
 
 void ClaimManager::readRow(Claim &claim, ClaimActions &actions)
--- a/src/libbalsamloft/claims_test.cpp
+++ b/src/libbalsamloft/claims_test.cpp
@@ -115,7 +115,7 @@
     // Guards against memory that grows during a long outage of the table. Callers have their
     // answers already. A retry with one of the oldest keys is refused with an unknown
     // outcome, since its row stays claimed.
-    ClaimManager manager({.instance = "a", .batchSize = 1, .maxUnresolved = 5});
+    ClaimManager manager({.instance = "a", .batchSize = 1, .maxPendingResolutions = 5});
     TableModel tables;
     ClaimActions actions;
     for (RequestId request = 1; request <= 20; ++request) {
@@ -134,6 +134,6 @@
                                     at(1), actions);
         }
     }
-    CHECK(manager.unresolved() <= 6);
+    CHECK(manager.pendingResolutions() <= 6);
     CHECK(manager.resolutionsDropped() >= 14);
 }
--- a/src/libbalsamloft/ratelimits.cpp
+++ b/src/libbalsamloft/ratelimits.cpp
@@ -50,11 +50,11 @@
         assignSlots(limit, now);
 }
 
-/// Excludes slots that began before now: they were assigned differently, so that a slot this
-/// instance has used could appear to be unused.
+/// Updates the rotations of \a limit. Slots that began before \a now are excluded: they were
+/// assigned by the old rotations, so one that this instance has used could seem to be unused.
 void RateLimits::assignSlots(Limit &limit, Time now) const
 {
-    limit.ownDomain = rotationOf(limit.domain, true);
+    limit.endpointDomain = rotationOf(limit.domain, true);
     limit.otherDomains = rotationOf(limit.domain, false);
     limit.usedUntil = std::max(limit.usedUntil, sharedSeconds(now));
 }
@@ -104,10 +104,10 @@
 
 bool RateLimits::ownsSlot(const Limit &limit, std::int64_t slot)
 {
-    const bool bothKinds = limit.ownDomain.count > 0 && limit.otherDomains.count > 0;
+    const bool bothKinds = limit.endpointDomain.count > 0 && limit.otherDomains.count > 0;
     const bool toOtherDomains =
-        limit.ownDomain.count == 0 || (bothKinds && slot % OtherDomainsInterval == 0);
-    const Rotation &rotation = toOtherDomains ? limit.otherDomains : limit.ownDomain;
+        limit.endpointDomain.count == 0 || (bothKinds && slot % OtherDomainsInterval == 0);
+    const Rotation &rotation = toOtherDomains ? limit.otherDomains : limit.endpointDomain;
     const std::int64_t otherDomainSlots = slot / OtherDomainsInterval;
     const std::int64_t number = !bothKinds       ? slot
                                 : toOtherDomains ? otherDomainSlots
--- a/src/libbalsamloft/router_test.cpp
+++ b/src/libbalsamloft/router_test.cpp
@@ -108,7 +108,7 @@
     }
 }
 
-TEST_CASE("a killed stage: the stream continues on another engine without a gap",
+TEST_CASE("a killed stage: the stream continues on another engine without missing tokens",
           "[router][failure]")
 {
     // An engine in the middle of the chain crashes while requests are running, and its
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -153,7 +153,7 @@
         return stepFailed(awaited, FailureKind::Broken, std::nullopt, now, actions);
     }
     const Stage &stage = flight->chain[flight->stage];
-    reported(stage.endpoint, answer.load, now, actions);
+    applyLoadReport(stage.endpoint, answer.load, now, actions);
     m_loads.succeeded(stage.endpoint);
     if (flight->prefillPass)
         m_loads.accepted(stage.endpoint);
--- a/src/libbalsamloft/routerfailures.cpp
+++ b/src/libbalsamloft/routerfailures.cpp
@@ -24,7 +24,7 @@
     if (!current)
         return;
     if (load)
-        reported(flight->chain[flight->stage].endpoint, *load, now, actions);
+        applyLoadReport(flight->chain[flight->stage].endpoint, *load, now, actions);
     attemptFailed(*flight, kind, now, actions);
 }
 
@@ -51,7 +51,7 @@
         m_loads.refusedBusy(endpoint, now);
         break;
     case FailureKind::Leaving:
-        reported(endpoint, {0, 0, {}, true}, now, actions);
+        applyLoadReport(endpoint, {0, 0, {}, true}, now, actions);
         break;
     case FailureKind::StateLost:
         break;
@@ -95,9 +95,9 @@
     dispatchQueued(target, now, actions);
 }
 
-void Router::Impl::backOff(Flight &flight, std::uint32_t tries, Time now)
+void Router::Impl::backOff(Flight &flight, std::uint32_t attempts, Time now)
 {
-    const std::uint32_t shift = std::min(tries, MaxBackoffShift);
+    const std::uint32_t shift = std::min(attempts, MaxBackoffShift);
     const Duration backoff = m_settings.retryBackoff * (1 << shift);
     const Duration wait(static_cast<std::int64_t>(static_cast<double>(backoff.count()) * jitter()));
     setTimer(flight, std::min(flight.request.deadline, now + wait));
@@ -148,7 +148,8 @@
     setTimer(flight, std::min(flight.request.deadline, now + responseTimeout(flight)));
 }
 
-void Router::Impl::reported(EndpointId endpoint, const LoadReport &load, Time now, Actions &actions)
+void Router::Impl::applyLoadReport(EndpointId endpoint, const LoadReport &load, Time now,
+                                   Actions &actions)
 {
     const bool wasLeaving = m_loads.state(endpoint).reportedLeaving;
     m_loads.reported(endpoint, load, now);
--- a/src/libbalsamloft/routerimpl.h
+++ b/src/libbalsamloft/routerimpl.h
@@ -33,14 +33,14 @@
     bool attemptMayHaveExecuted = false; ///< the same for the current attempt
     bool prefillPass = false;
     std::uint32_t attempt = 0;
-    std::uint32_t retries = 0;
+    std::uint32_t retries = 0; ///< attempts that were charged to the retry budget
     std::uint32_t failedConnects = 0; ///< attempts at which no connection was accepted
     std::uint32_t silentPeriods = 0; ///< timeouts since the last answer
     std::size_t stage = 0;
     Chain chain;
-    EndpointId avoid = NoEndpoint;
+    EndpointId avoid = NoEndpoint; ///< endpoint of the last failed attempt
     std::vector<std::string> tokens; ///< sent to the caller so far
-    double cost = 1;
+    double cost = 1; ///< expected work in tokens
     Time timer {}; ///< when tick() calls timerFired()
     Time submittedAt {};
     Time stepSentAt {};
@@ -151,19 +151,31 @@
     void setTimer(Flight &flight, Time at);
     Duration responseTimeout(const Flight &flight) const;
     void recordToken(Flight &flight, const StepAnswer &answer, Time now, Actions &actions);
+
+    /// Frees the slots of the chain of \a flight.
     void release(Flight &flight, Time now);
+
+    /// Cancels the current attempt at all stages except \a except.
     void cancelStages(const Flight &flight, EndpointId except, Actions &actions) const;
     void remove(Flight &flight);
     static void recordFinish(Target &target, double cost, Time now);
 
     // Failures
+
+    /// Dispatches a request again after an attempt of which nothing was executed. This is
+    /// not charged to the retry budget.
     void resendUnexecuted(Flight &flight, FailureKind kind, Time now, Actions &actions);
-    void backOff(Flight &flight, std::uint32_t tries, Time now);
+    void backOff(Flight &flight, std::uint32_t attempts, Time now);
+
+    /// Retries a request that may have been executed, if it is idempotent and the retry
+    /// budget allows it.
     void retryOrRefuse(Flight &flight, FailureKind kind, Time now, Actions &actions);
+
+    /// Handles a step or call that was not answered in time.
     void handleTimeout(Flight &flight, Time now, Actions &actions);
     void timerFired(Flight &flight, Time now, Actions &actions);
     void probe(EndpointId endpoint, Actions &actions);
-    void reported(EndpointId endpoint, const LoadReport &load, Time now, Actions &actions);
+    void applyLoadReport(EndpointId endpoint, const LoadReport &load, Time now, Actions &actions);
     void probeDueEndpoints(Time now, Actions &actions);
 
     static std::string targetKey(TargetKind kind, std::string_view name);
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -13,13 +13,13 @@
 constexpr double RingPointsPerMeanWeight = 32;
 constexpr std::size_t MinRingPoints = 4;
 constexpr int MaxDraws = 4;
-constexpr double MarginSteps = 2; ///< added for the first token and the answer
+constexpr double MarginSteps = 2; ///< added for the first token and the network
 constexpr double TimeMargin = 1.1; ///< allows for steps slower than expected
 constexpr int AlertDraws = 16;
 constexpr double StepsUntilSlotFree = 4; // approximate, at a full endpoint
 constexpr std::size_t MaxOwners = 16; ///< of one prefix
 constexpr std::size_t ExtraOwners = 2; ///< tried if all owners are full
-constexpr double OwnersPerDemandShare = 4; ///< if its demand is one member's share of all
+constexpr double OwnersPerDemandShare = 4; ///< more owners of a prefix per member's share of demand
 constexpr std::uint32_t PrefixWindow = 8192; ///< requests until the counts are halved
 constexpr std::size_t AlertHashSeed = 0xa1e27;
 constexpr double RoundTripScaleMicros = 30'000; // one typical step
@@ -88,7 +88,7 @@
 }
 
 void CandidateTable::finish(const Config &config, const LoadView &loads, std::string_view domain,
-                            std::string_view wantedVersion, std::uint32_t alertEndpoints)
+                            std::string_view requestedVersion, std::uint32_t alertEndpoints)
 {
     for (VersionGroups &version : m_versions) {
         std::sort(version.groups.begin(), version.groups.end(),
@@ -107,7 +107,7 @@
     // Other versions stay as a fallback, so that the model remains available while no
     // chain holds the requested version yet.
     std::stable_partition(m_versions.begin(), m_versions.end(), [&](const VersionGroups &version) {
-        return version.version == wantedVersion || version.version.empty();
+        return version.version == requestedVersion || version.version.empty();
     });
 }
 
@@ -272,9 +272,9 @@
         if (isEligible(decision, id))
             return {id, cost(decision, id, false), false};
     }
-    // Limits the ejections: if no usable member is left and more than maxEjectedFraction
-    // of the group is ejected, ejected members are used too, so that a burst of failures
-    // can't disable the complete group.
+    // Limits the ejections: if no member is eligible and more than maxEjectedFraction of the
+    // group is ejected, ejected members are used too, so that a burst of failures can't
+    // disable the complete group.
     std::size_t ejected = 0;
     for (const EndpointId id : members)
         ejected += decision.loads.ejected(id) ? 1 : 0;
@@ -296,11 +296,11 @@
 {
     // Alerts compare more members: alerts are rare and must not wait.
     const bool alert = decision.query.priority == Priority::Alert;
-    const int tries = alert ? AlertDraws : MaxDraws;
-    const int wanted = alert ? AlertDraws : 2;
+    const int maxDraws = alert ? AlertDraws : MaxDraws;
+    const int maxCompared = alert ? AlertDraws : 2;
     Pick best;
     int found = 0;
-    for (int attempt = 0; attempt < tries && found < wanted; ++attempt) {
+    for (int attempt = 0; attempt < maxDraws && found < maxCompared; ++attempt) {
         const EndpointId id = drawByWeight(decision.group);
         if (!isEligible(decision, id))
             continue;
--- a/src/libbalsamloft/routing_test.cpp
+++ b/src/libbalsamloft/routing_test.cpp
@@ -61,10 +61,10 @@
         return names;
     }
 
-    std::map<std::string, int> counts(int tries, RouteQuery query = {})
+    std::map<std::string, int> counts(int draws, RouteQuery query = {})
     {
         std::map<std::string, int> result;
-        for (int i = 0; i < tries; ++i)
+        for (int i = 0; i < draws; ++i)
             ++result[choose(query)];
         return result;
     }
