--- a/src/entry/tablesource.cpp
+++ b/src/entry/tablesource.cpp
@@ -18,7 +18,7 @@
 CallLimits storeLimits(Duration wait)
 {
     CallLimits limits = answerLimits(false, wait);
-    limits.within = wait + StoreResponseTimeout;
+    limits.answerTimeout = wait + StoreResponseTimeout;
     return limits;
 }
 
--- a/src/entry/timedcall.h
+++ b/src/entry/timedcall.h
@@ -44,7 +44,7 @@
     void exchangeFailed(AttemptFailure failure) override;
     void answerReceived(MessageReader &answer) override;
     void armTimer();
-    Time deadline() const { return m_limits.end(m_startedAt, m_lastReadAt); }
+    Time deadline() const { return m_limits.deadline(m_startedAt, m_lastReadAt); }
     void finish();
 
     boost::asio::steady_timer m_timer;
