--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -30,9 +30,9 @@
     return each;
 }
 
-std::size_t count(FleetTracker &keeper)
+std::size_t count(FleetTracker &tracker)
 {
-    return keeper.snapshot()->endpoints.size();
+    return tracker.snapshot()->endpoints.size();
 }
 
 } // namespace
@@ -41,23 +41,23 @@
 // against requests that find no endpoint in the first second after the outage.
 TEST_CASE("entries that expire in an outage of the list are kept for the recovery time")
 {
-    FleetTracker keeper;
-    keeper.listed({endpoint("a"), endpoint("b")}, Start);
+    FleetTracker tracker;
+    tracker.listed({endpoint("a"), endpoint("b")}, Start);
     const Time back = Start + milliseconds(5000);
-    keeper.listed({}, back);
-    CHECK(count(keeper) == 2);
-    keeper.changed(endpoint("a"), back + milliseconds(900));
-    keeper.tick(back + milliseconds(2100));
-    CHECK(count(keeper) == 1);
+    tracker.listed({}, back);
+    CHECK(count(tracker) == 2);
+    tracker.changed(endpoint("a"), back + milliseconds(900));
+    tracker.tick(back + milliseconds(2100));
+    CHECK(count(tracker) == 1);
 }
 
 TEST_CASE("an entry deleted while the list is available is removed at once")
 {
-    FleetTracker keeper;
-    keeper.listed({endpoint("a"), endpoint("b")}, Start);
-    keeper.heard(Start + milliseconds(1000));
-    keeper.dropped("a", Start + milliseconds(1500));
-    CHECK(count(keeper) == 1);
+    FleetTracker tracker;
+    tracker.listed({endpoint("a"), endpoint("b")}, Start);
+    tracker.heard(Start + milliseconds(1000));
+    tracker.dropped("a", Start + milliseconds(1500));
+    CHECK(count(tracker) == 1);
 }
 
 // The source of this instance lost the store and sent stale updates for 1.8 s, while the list
@@ -65,15 +65,15 @@
 // endpoint would get new requests for seconds after it left.
 TEST_CASE("an entry deleted during a short gap in updates is removed at once")
 {
-    FleetTracker keeper;
-    keeper.listed({endpoint("a"), endpoint("b")}, Start);
+    FleetTracker tracker;
+    tracker.listed({endpoint("a"), endpoint("b")}, Start);
     const bool viaSnapshot = GENERATE(false, true);
     const Time back = Start + milliseconds(1800);
     if (viaSnapshot)
-        keeper.listed({endpoint("b")}, back);
+        tracker.listed({endpoint("b")}, back);
     else
-        keeper.dropped("a", back);
-    CHECK(count(keeper) == 1);
+        tracker.dropped("a", back);
+    CHECK(count(tracker) == 1);
 }
 
 // The store is down for five seconds while the source keeps answering with stale data, and the
@@ -81,38 +81,38 @@
 // hide the outage, and requests would find no endpoint for a second.
 TEST_CASE("forwarded stale updates do not hide an outage of the list")
 {
-    FleetTracker keeper;
-    keeper.listed({endpoint("a"), endpoint("b")}, Start);
+    FleetTracker tracker;
+    tracker.listed({endpoint("a"), endpoint("b")}, Start);
     for (int i = 0; i < 12; ++i)
-        keeper.heard(Start + milliseconds(100));
-    keeper.dropped("a", Start + milliseconds(5000));
-    CHECK(count(keeper) == 2);
+        tracker.heard(Start + milliseconds(100));
+    tracker.dropped("a", Start + milliseconds(5000));
+    CHECK(count(tracker) == 2);
 }
 
 // This instance reads from two sources in turn, and the second one's data is older. An endpoint
 // that leaves at that time must not be kept as after an outage.
 TEST_CASE("an update older than the last one does not count as an outage")
 {
-    FleetTracker keeper;
-    keeper.listed({endpoint("a"), endpoint("b")}, Start);
-    keeper.heard(Start + milliseconds(1000));
-    keeper.heard(Start + milliseconds(200));
-    keeper.dropped("a", Start + milliseconds(3000));
-    CHECK(count(keeper) == 1);
+    FleetTracker tracker;
+    tracker.listed({endpoint("a"), endpoint("b")}, Start);
+    tracker.heard(Start + milliseconds(1000));
+    tracker.heard(Start + milliseconds(200));
+    tracker.dropped("a", Start + milliseconds(3000));
+    CHECK(count(tracker) == 1);
 }
 
 // The entry of a leaving endpoint expires in an outage: it must not be kept, since the endpoint
 // does not return.
 TEST_CASE("a leaving endpoint stays leaving, and is not kept through an outage")
 {
-    FleetTracker keeper;
+    FleetTracker tracker;
     FleetEndpoint leaving = endpoint("a");
     leaving.draining = true;
-    keeper.listed({leaving}, Start);
-    keeper.changed(endpoint("a"), Start + milliseconds(100));
-    CHECK(keeper.snapshot()->endpoints.front().draining);
-    keeper.listed({}, Start + milliseconds(6000));
-    CHECK(count(keeper) == 0);
+    tracker.listed({leaving}, Start);
+    tracker.changed(endpoint("a"), Start + milliseconds(100));
+    CHECK(tracker.snapshot()->endpoints.front().draining);
+    tracker.listed({}, Start + milliseconds(6000));
+    CHECK(count(tracker) == 0);
 }
 
 // An endpoint announces that it leaves, and its entry is deleted. Then a delayed write of the
@@ -120,14 +120,14 @@
 // requests sent to it would be truncated when it exits.
 TEST_CASE("an entry written after its deletion does not revert leaving")
 {
-    FleetTracker keeper;
+    FleetTracker tracker;
     FleetEndpoint leaving = endpoint("a");
     leaving.draining = true;
-    keeper.listed({leaving}, Start);
-    keeper.dropped("a", Start + milliseconds(1000));
-    keeper.tick(Start + milliseconds(1500));
-    keeper.changed(endpoint("a"), Start + milliseconds(2000));
-    CHECK(keeper.snapshot()->endpoints.front().draining);
+    tracker.listed({leaving}, Start);
+    tracker.dropped("a", Start + milliseconds(1000));
+    tracker.tick(Start + milliseconds(1500));
+    tracker.changed(endpoint("a"), Start + milliseconds(2000));
+    CHECK(tracker.snapshot()->endpoints.front().draining);
 }
 
 namespace {
@@ -148,13 +148,13 @@
 // old one was leaving or unresponsive.
 TEST_CASE("an engine restarted under the same name is a new endpoint")
 {
-    FleetTracker keeper;
+    FleetTracker tracker;
     FleetEndpoint leaving = engineStartedAt(1000, {0, 8});
     leaving.draining = true;
-    keeper.listed({leaving, endpoint("b")}, Start);
-    const std::string dead = keeper.snapshot()->endpoints.front().id;
-    keeper.changed(engineStartedAt(5000, {}), Start + milliseconds(100));
-    const FleetPtr fleet = keeper.snapshot();
+    tracker.listed({leaving, endpoint("b")}, Start);
+    const std::string dead = tracker.snapshot()->endpoints.front().id;
+    tracker.changed(engineStartedAt(5000, {}), Start + milliseconds(100));
+    const FleetPtr fleet = tracker.snapshot();
     REQUIRE(fleet->endpoints.size() == 2);
     CHECK_FALSE(fleet->find(dead));
     const FleetEndpoint *alive = fleet->find(processId("a", 5000));
@@ -167,16 +167,16 @@
 // new process, or after the new process is gone as well.
 TEST_CASE("an older entry does not restore a replaced engine")
 {
-    FleetTracker keeper;
-    keeper.listed({engineStartedAt(5000, {})}, Start);
+    FleetTracker tracker;
+    tracker.listed({engineStartedAt(5000, {})}, Start);
     const bool gone = GENERATE(false, true);
     if (gone)
-        keeper.dropped("a", Start + milliseconds(50));
+        tracker.dropped("a", Start + milliseconds(50));
     if (GENERATE(false, true))
-        keeper.changed(engineStartedAt(1000, {0, 8}), Start + milliseconds(100));
+        tracker.changed(engineStartedAt(1000, {0, 8}), Start + milliseconds(100));
     else
-        keeper.listed({engineStartedAt(1000, {0, 8})}, Start + milliseconds(100));
-    CHECK_FALSE(keeper.snapshot()->find(processId("a", 1000)));
+        tracker.listed({engineStartedAt(1000, {0, 8})}, Start + milliseconds(100));
+    CHECK_FALSE(tracker.snapshot()->find(processId("a", 1000)));
 }
 
 // A caller may be served only while a recent read confirms its key. For any delays, the
