--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -183,12 +183,12 @@
     events.snapshot = [this, table, apply](const auto &all, std::uint64_t version,
                                            const TableAnswer &answer) {
         TableCopy &copy = m_server.state(table).copy;
-        copy.replace(all, version);
-        apply(copy.all(), true, answer);
+        copy.replaceAll(all, version);
+        apply(copy.rows(), true, answer);
     };
     events.changed = [this, table, apply](const auto &changed, std::uint64_t version,
                                           const TableAnswer &answer) {
-        apply(m_server.state(table).copy.change(changed, version), false, answer);
+        apply(m_server.state(table).copy.applyChanges(changed, version), false, answer);
     };
     events.answered = [this, table](const TableSource &source, const TableAnswer &answer) {
         tableAnswered(table, source, answer);
@@ -204,7 +204,7 @@
 /// domain.
 bool Control::isDomainReader() const
 {
-    return m_directory.first(steadyNow());
+    return m_directory.isFirstReader(steadyNow());
 }
 
 SourceChoice Control::chooseSource(SharedTable table)
@@ -216,12 +216,12 @@
     if (from.kind == ReadSource::Kind::None)
         return nullptr;
     if (from.kind == ReadSource::Kind::Store)
-        return {m_storeSources[index].get(), from.atOnce};
+        return {m_storeSources[index].get(), from.immediate};
     const PeerInstance &peer = *from.instance;
     auto &source = m_peerSources[index][peer.name + "@" + peer.address];
     if (!source)
         source = std::make_unique<PeerSource>(m_context, peer, index, m_lastReportAt);
-    return {source.get(), from.atOnce};
+    return {source.get(), from.immediate};
 }
 
 void Control::sourceFailed(const TableSource &source, bool answered)
@@ -231,9 +231,9 @@
         m_directory.storeFailed(now);
         m_server.storeLost();
     } else if (answered) {
-        m_directory.behind(source.peer(), now);
+        m_directory.recordEmptyAnswer(source.peer(), now);
     } else {
-        m_directory.silent(source.peer(), now);
+        m_directory.markUnresponsive(source.peer(), now);
     }
 }
 
@@ -253,7 +253,7 @@
     if (source.isStore())
         m_directory.storeAnswered();
     else if (!usesLongWaits(table))
-        m_directory.told(source.peer(), age, answer.fromStore, now);
+        m_directory.recordAnswer(source.peer(), age, answer.fromStore, now);
     if (table == SharedTable::Configuration && m_table)
         m_state.keysKnownAt = state.knownAt.time_since_epoch().count();
     if (table == SharedTable::Endpoints) {
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -138,7 +138,7 @@
 {
     std::vector<CrashRecord> crashes;
     std::vector<TrialRow> trials;
-    for (const StoreRow &row : m_server.state(SharedTable::Crashes).copy.all()) {
+    for (const StoreRow &row : m_server.state(SharedTable::Crashes).copy.rows()) {
         if (isTrialKey(row.key)) {
             if (auto trial = parseTrial(row))
                 trials.push_back(std::move(*trial));
--- a/src/entry/controlinstances.cpp
+++ b/src/entry/controlinstances.cpp
@@ -79,7 +79,7 @@
 {
     const TableState &state = m_server.state(SharedTable::Instances);
     std::vector<InstanceRow> rows;
-    for (const StoreRow &row : state.copy.all()) {
+    for (const StoreRow &row : state.copy.rows()) {
         const auto object = parseRow(row);
         const auto domain = object ? textField(*object, "domain") : std::nullopt;
         const auto peer = object ? textField(*object, "peer") : std::nullopt;
@@ -87,7 +87,7 @@
         if (domain && peer && seenMs)
             rows.push_back({{row.key, *domain, *peer}, *seenMs});
     }
-    std::vector<PeerInstance> instances = m_instanceList.heard(rows, state.storeMs);
+    std::vector<PeerInstance> instances = m_instanceList.update(rows, state.storeMs);
     const Duration clock = m_storeOffset.value_or(Duration {});
     const bool listChanged = instances != m_instances;
     if (!listChanged && clock - m_publishedClock < ClockTolerance)
@@ -95,12 +95,13 @@
     m_publishedClock = clock;
     if (listChanged) {
         m_instances = std::move(instances);
-        m_directory.replace(m_instances);
+        m_directory.setInstances(m_instances);
         logDecision("instances", "counted",
                     {{"in_domain", std::int64_t(m_directory.instancesInDomain())},
-                     {"all", std::int64_t(m_directory.count())}});
+                     {"all", std::int64_t(m_directory.instanceCount())}});
     }
-    m_events.instances({m_instances, m_directory.instancesInDomain(), m_directory.count(), clock});
+    m_events.instances(
+        {m_instances, m_directory.instancesInDomain(), m_directory.instanceCount(), clock});
 }
 
 void Control::writeInstanceRow(bool leaving, std::function<void()> done)
--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -45,7 +45,7 @@
 void PeerServer::addCompressed(const CompressedRows &compressed, wire::TableNews &update)
 {
     update.set_packed_rows(compressed.bytes);
-    update.set_packed_from(compressed.from);
+    update.set_packed_from(compressed.uncompressedSize);
 }
 
 /// Adds a snapshot of the table, compressed once for all queries: thousands of similar rows as text
@@ -56,7 +56,7 @@
     const TableCopy &copy = m_states[table].copy;
     CompressedTable &compressed = m_compressed[table];
     if (compressed.version != copy.version() || compressed.rows.bytes.empty())
-        compressed = {copy.version(), compressRows(copy.all())};
+        compressed = {copy.version(), compressRows(copy.rows())};
     addCompressed(compressed.rows, update);
 }
 
@@ -112,7 +112,7 @@
 {
     const TableState &state = m_states[table];
     wire::TableNews update;
-    auto rows = after == 0 ? std::nullopt : state.copy.since(after);
+    auto rows = after == 0 ? std::nullopt : state.copy.changesSince(after);
     update.set_whole(!rows);
     // If the changes cover all rows, such as the only row of a table, the compressed snapshot is
     // sent, which is shared by all queries.
--- a/src/entry/tablesource.cpp
+++ b/src/entry/tablesource.cpp
@@ -52,7 +52,7 @@
 {
     TableAnswer result;
     if (answer.reply.kind == StoreReply::Kind::Done) {
-        m_freshness.answered(answer.sentAt, answer.arrivedAt, answer.reply.storeMs);
+        m_freshness.recordAnswer(answer.sentAt, answer.arrivedAt, answer.reply.storeMs);
         result.knownAt = m_freshness.knownAt();
         result.fromStore = true;
     }
@@ -123,7 +123,7 @@
     const Time now = bootNow();
     // The time of the answer is estimated from the clock of the peer as for the store. The data is
     // older than the answer by the age that the peer reports.
-    m_freshness.answered(sentAt, now, static_cast<std::int64_t>(update.clock_ms()));
+    m_freshness.recordAnswer(sentAt, now, static_cast<std::int64_t>(update.clock_ms()));
     const auto age = Duration((update.clock_ms() - update.known_ms()) * 1000);
     answer.knownAt = *m_freshness.knownAt() - age;
     answer.reply.kind = StoreReply::Kind::Done;
--- a/src/fakes/routerharness.cpp
+++ b/src/fakes/routerharness.cpp
@@ -131,7 +131,7 @@
             perform(router, claimActions);
         } else if (auto *resolve = std::get_if<ResolveClaim>(&action)) {
             ClaimActions claimActions;
-            m_routers[router].claims.resolve({0, resolve->request}, resolve->end, resolve->answer,
+            m_routers[router].claims.resolve({0, resolve->request}, resolve->outcome, resolve->answer,
                                              m_now, claimActions);
             perform(router, claimActions);
         }
--- a/src/libbalsamloft/router_test.cpp
+++ b/src/libbalsamloft/router_test.cpp
@@ -389,7 +389,7 @@
     for (const Action &action : actions) {
         CHECK_FALSE(std::holds_alternative<SendStep>(action));
         if (const auto *resolve = std::get_if<ResolveClaim>(&action))
-            released = resolve->end == ClaimOutcome::NotExecuted;
+            released = resolve->outcome == ClaimOutcome::NotExecuted;
         if (const auto *refuse = std::get_if<RefuseRequest>(&action))
             refused = refuse->ran == Executed::No;
     }
