--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -68,8 +68,8 @@
 {
     const auto self = shared_from_this();
     abandonAttempt();
-    switch (end.end) {
-    case FlightOutcome::NotRun:
+    switch (end.outcome) {
+    case FlightOutcome::NotExecuted:
         return refuse(503, end.reason, end.retryAfter);
     case FlightOutcome::Failed:
         return refuse(502, end.reason);
--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -104,7 +104,7 @@
     answer.status = head.status;
     answer.notExecuted = head.find(names.notExecuted).has_value();
     answer.provenExecuted = head.find(names.executionProof).has_value();
-    answer.atAddress = head.find(names.atAddress).value_or("");
+    answer.faultyAddress = head.find(names.atAddress).value_or("");
     answer.running = leadingNumber<std::uint32_t>(head.find(names.load).value_or(""));
     answer.rateLimit = leadingNumber<double>(head.find(names.rateLimit).value_or(""));
     return answer;
@@ -174,7 +174,7 @@
     m_answer.emplace(std::move(answer));
     const AnswerHead head = answerHead(m_answer->head());
     note("answered " + std::to_string(head.status) + (head.notExecuted ? ", not run" : "")
-         + (head.atAddress.empty() ? std::string() : " at " + std::string(head.atAddress)));
+         + (head.faultyAddress.empty() ? std::string() : " at " + std::string(head.faultyAddress)));
     m_server.relay().answered(*m_flight, m_attempt, head, now, actions);
     m_server.run(std::move(actions));
 }
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -45,10 +45,10 @@
 
 std::string valueOf(const TrialRow &row)
 {
-    return json::serialize(json::object {{"at", row.at},
+    return json::serialize(json::object {{"at", row.counterpart},
                                          {"by", row.holder},
                                          {"until_ms", toMilliseconds(row.until)},
-                                         {"tries", row.tries}});
+                                         {"tries", row.trials}});
 }
 
 std::string textOfEnd(std::int64_t atMs, const std::string &by)
@@ -149,7 +149,7 @@
             m_state.badRows += 1;
         }
     }
-    m_trials.learn(std::move(trials), crashes);
+    m_trials.setRows(std::move(trials), crashes);
     const Time now = steadyNow();
     for (CrashRecord &each : crashes)
         each.at = now - std::max(Duration {}, storeNow() - each.at);
@@ -169,14 +169,14 @@
     constexpr Duration WithoutStore {2'000'000};
     if (!m_storeOffset || !m_directory.storeUsable(steadyNow()))
         return answered({.wait = WithoutStore});
-    auto decision = m_trials.ask(request, *m_fleetNow, storeNow());
+    auto decision = m_trials.decide(request, *m_fleetNow, storeNow());
     if (const auto *refused = std::get_if<TrialAnswer>(&decision))
         return answered(*refused);
     const Time askedAt = bootNow();
     TrialChange change = std::get<TrialChange>(std::move(decision));
     writeTrial(change, [this, request, change, askedAt, answered = std::move(answered)](bool done) {
         TrialAnswer answer = m_trials.answer(request, change, done, storeNow());
-        answer.lasts -= std::min(answer.lasts, bootNow() - askedAt);
+        answer.validFor -= std::min(answer.validFor, bootNow() - askedAt);
         logDecision("quarantine", answer.granted ? "trial permitted" : "trial refused",
                     {{"digest", std::string_view(request.digest)},
                      {"endpoint", std::string_view(request.endpoint)},
@@ -207,14 +207,14 @@
                             for (const StoreRow &row : answer.reply.rows)
                                 if (auto trial = done ? std::nullopt : trialOf(row))
                                     found.push_back(std::move(*trial));
-                            m_trials.written(change, done, answer.reply.version, found);
+                            m_trials.recordWrite(change, done, answer.reply.version, found);
                             written(done);
                         });
 }
 
 void Control::finishTrial(const FinishTrial &ended)
 {
-    const auto change = m_trials.release(ended.digest, ended.end);
+    const auto change = m_trials.release(ended.digest, ended.outcome);
     if (!change)
         return;
     writeTrial(*change, [digest = ended.digest](bool done) {
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -124,7 +124,7 @@
 {
     m_fleet = fleet;
     RelayActions actions;
-    m_relay.follow(std::move(fleet), steadyNow(), actions);
+    m_relay.setFleet(std::move(fleet), steadyNow(), actions);
     run(std::move(actions));
 }
 
@@ -270,7 +270,7 @@
                  {"pace", report->pace},
                  {"stalled_at", std::string_view(stalled)}});
     m_relay.endpointAnswered(endpoint, askedAt);
-    m_relay.reported(endpoint, report->stalledAddresses, report->pace, steadyNow(), actions);
+    m_relay.queryAnswered(endpoint, report->stalledAddresses, report->pace, steadyNow(), actions);
     run(std::move(actions));
 }
 
@@ -282,7 +282,7 @@
                   RelayActions actions;
                   const auto [reply, at] = m_protocol.parsePathReply(outcome.status, outcome.body);
                   if (const auto it = m_flights.find(flight); it != m_flights.end())
-                      it->second->note(reply == PathReply::Taken
+                      it->second->note(reply == PathReply::Accepted
                                            ? "path changed"
                                            : "path not changed, " + std::to_string(outcome.status)
                                                  + (at.empty() ? "" : " at " + at));
@@ -350,7 +350,7 @@
                               + m_protocol.pathText(change->path));
             changePath(*change);
         } else if (const auto *told = std::get_if<PublishCrashes>(&action)) {
-            publishCrashes(told->news);
+            publishCrashes(told->update);
         } else if (const auto *trial = std::get_if<RequestTrial>(&action)) {
             requestTrial(*trial);
         } else if (const auto *ended = std::get_if<FinishTrial>(&action)) {
@@ -406,7 +406,7 @@
     };
     sample("requests_total", counts.submitted);
     sample("requests_passed_total", counts.passed);
-    sample("requests_not_run_total", counts.notRun);
+    sample("requests_not_run_total", counts.notExecuted);
     sample("requests_failed_total", counts.failed);
     sample("requests_timed_out_total", counts.timedOut);
     sample("streams_cut_short_total", counts.truncated);
@@ -415,7 +415,7 @@
     sample("paths_changed_total", counts.pathsChanged);
     sample("crashes_under_requests_total", counts.crashes);
     sample("requests_held_back_total", counts.quarantined);
-    sample("contents_suspected", m_relay.quarantine().suspected());
+    sample("contents_suspected", m_relay.quarantine().suspectCount());
     sample("contents_held", m_relay.quarantine().quarantinedCount(steadyNow()));
     sample("endpoints_with_rate_limit", m_relay.rateLimits().size());
     sample("endpoints_passed_over_total", counts.rateLimitSkips);
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr Duration TickEvery {50'000};
-constexpr Duration Network {500}; ///< one way
-constexpr Duration StallCut {2'500'000}; ///< an engine cuts off what waits so long for another
-constexpr Duration QuestionWithin {450'000}; ///< answered, or it failed
+constexpr Duration TickInterval {50'000};
+constexpr Duration NetworkDelay {500}; ///< one way
+constexpr Duration StallTimeout {2'500'000}; ///< an engine cuts off what waits so long for another
+constexpr Duration QueryTimeout {450'000}; ///< answered, or it failed
 constexpr std::uint32_t Layers = 8;
 constexpr std::uint32_t ManyRetries = 1000;
 
@@ -49,7 +49,7 @@
         startEngine("d" + std::to_string(i % m_settings.domains), layersOf(i / m_settings.domains));
     for (std::size_t i = 0; i < m_settings.instances; ++i) {
         startInstance(i);
-        after(between(0, TickEvery.count()), [this, i] { tick(i); });
+        after(between(0, TickInterval.count()), [this, i] { tick(i); });
     }
     after(Duration(1), [this] { arrive(); });
     after(m_settings.crashingInterval, [this] { arriveCrashing(); });
@@ -67,7 +67,7 @@
     TrialSettings trials;
     trials.holder = "instance " + std::to_string(m_next++);
     m_permits[instance] = TrialPermits(trials);
-    tellFleet();
+    publishFleet();
 }
 
 void CrashSimulation::addSuspects(std::size_t others)
@@ -77,9 +77,9 @@
         digests.push_back("beside " + std::to_string(i));
     for (const std::string &digest : digests)
         for (int end = 0; end < 3; ++end)
-            m_told.push_back({digest, "gone-" + std::to_string(end), m_now});
-    m_ends[digests.front()].assign(3, m_now);
-    learn();
+            m_sharedCrashes.push_back({digest, "gone-" + std::to_string(end), m_now});
+    m_crashes[digests.front()].assign(3, m_now);
+    distribute();
     for (std::size_t i = 1; i < digests.size(); ++i) {
         Caller caller;
         caller.digest = digests[i];
@@ -98,7 +98,7 @@
     for (const auto &run : m_runs)
         run->over = true;
     m_runs.clear();
-    after(m_settings.updateDelay, [this] { learn(); });
+    after(m_settings.updateDelay, [this] { distribute(); });
 }
 
 /// Where engines in the middle of paths end, every other one holds the second half.
@@ -117,10 +117,10 @@
     engine.domain = domain;
     engine.address = "10.0.0.1:" + std::to_string(1000 + m_engines.size());
     m_engines.push_back(std::move(engine));
-    tellFleet();
+    publishFleet();
 }
 
-void CrashSimulation::tellFleet()
+void CrashSimulation::publishFleet()
 {
     auto fleet = std::make_shared<FleetSnapshot>();
     fleet->number = m_next++;
@@ -140,8 +140,9 @@
     m_fleet = fleet;
     for (std::size_t i = 0; i < m_relays.size(); ++i)
         if (m_relays[i])
-            step(i,
-                 [&](Relay &relay, RelayActions &actions) { relay.follow(fleet, m_now, actions); });
+            step(i, [&](Relay &relay, RelayActions &actions) {
+                relay.setFleet(fleet, m_now, actions);
+            });
 }
 
 template<typename Step>
@@ -187,7 +188,7 @@
 void CrashSimulation::tick(std::size_t instance)
 {
     step(instance, [&](Relay &relay, RelayActions &actions) { relay.tick(m_now, actions); });
-    after(TickEvery, [this, instance] { tick(instance); });
+    after(TickInterval, [this, instance] { tick(instance); });
 }
 
 void CrashSimulation::arrive()
@@ -238,7 +239,7 @@
     const std::uint64_t eventsLeft = caller.eventsLeft;
     m_callers[instance][flight] = std::move(caller);
     after(m_settings.patience,
-          [this, instance, flight, eventsLeft] { leaveIfSilent(instance, flight, eventsLeft); });
+          [this, instance, flight, eventsLeft] { leaveIfIdle(instance, flight, eventsLeft); });
     act(instance, std::move(actions));
 }
 
@@ -249,18 +250,18 @@
             send(instance, *sent);
         else if (const auto *passing = std::get_if<PassAnswer>(&action))
             passed(instance, passing->flight);
-        else if (const auto *end = std::get_if<FinishFlight>(&action))
-            ended(instance, *end);
-        else if (const auto *asked = std::get_if<QueryEngine>(&action))
-            ask(instance, *asked);
+        else if (const auto *finish = std::get_if<FinishFlight>(&action))
+            finished(instance, *finish);
+        else if (const auto *query = std::get_if<QueryEngine>(&action))
+            queryEngine(instance, *query);
         else if (const auto *change = std::get_if<ChangePath>(&action))
             changePath(instance, *change);
-        else if (const auto *told = std::get_if<PublishCrashes>(&action))
-            tell(told->news);
+        else if (const auto *published = std::get_if<PublishCrashes>(&action))
+            publish(published->update);
         else if (const auto *trial = std::get_if<RequestTrial>(&action))
-            askTrial(instance, *trial);
-        else if (const auto *over = std::get_if<FinishTrial>(&action))
-            endTrial(instance, *over);
+            requestTrial(instance, *trial);
+        else if (const auto *trialFinish = std::get_if<FinishTrial>(&action))
+            finishTrial(instance, *trialFinish);
         else if (const auto *abandoned = std::get_if<AbandonAttempt>(&action))
             for (const auto &run : m_runs)
                 if (run->instance == instance && run->flight == abandoned->flight
@@ -269,25 +270,25 @@
     }
 }
 
-void CrashSimulation::tell(const CrashUpdate &news)
+void CrashSimulation::publish(const CrashUpdate &update)
 {
     if (m_settings.storeUnreachable)
         return;
-    for (const CrashRecord &each : news.added)
-        m_told.push_back(each);
-    for (const CrashRecord &each : news.removed)
-        std::erase_if(m_told, [&](const CrashRecord &told) {
-            return told.digest == each.digest && told.endpoint == each.endpoint;
+    for (const CrashRecord &each : update.added)
+        m_sharedCrashes.push_back(each);
+    for (const CrashRecord &each : update.removed)
+        std::erase_if(m_sharedCrashes, [&](const CrashRecord &shared) {
+            return shared.digest == each.digest && shared.endpoint == each.endpoint;
         });
-    after(m_settings.updateDelay, [this] { learn(); });
+    after(m_settings.updateDelay, [this] { distribute(); });
 }
 
-void CrashSimulation::learn()
+void CrashSimulation::distribute()
 {
     for (const auto &relay : m_relays)
-        relay->setSharedCrashes(m_told);
+        relay->setSharedCrashes(m_sharedCrashes);
     for (TrialPermits &permits : m_permits)
-        permits.learn(m_trials.rows(), m_told);
+        permits.setRows(m_trials.rows(), m_sharedCrashes);
 }
 
 /// \return whether the rows were still as \a change takes them to be.
@@ -296,40 +297,40 @@
     if (!m_trials.write(change))
         return false;
     if (change.crash)
-        m_told.push_back(*change.crash);
-    after(m_settings.updateDelay, [this] { learn(); });
+        m_sharedCrashes.push_back(*change.crash);
+    after(m_settings.updateDelay, [this] { distribute(); });
     return true;
 }
 
-void CrashSimulation::askTrial(std::size_t instance, const RequestTrial &ask)
+void CrashSimulation::requestTrial(std::size_t instance, const RequestTrial &request)
 {
-    const auto answer = [this, instance, ask](const TrialAnswer &given) {
+    const auto answer = [this, instance, request](const TrialAnswer &given) {
         step(instance, [&](Relay &relay, RelayActions &actions) {
-            relay.trialAnswered(ask.flight, ask.request, given, m_now, actions);
+            relay.trialAnswered(request.flight, request.request, given, m_now, actions);
         });
     };
     if (m_settings.storeUnreachable)
         return after(Duration(1), [answer] { answer({.wait = std::chrono::seconds(2)}); });
-    const auto decision = m_permits[instance].ask(ask.request, *m_fleet, m_now);
+    const auto decision = m_permits[instance].decide(request.request, *m_fleet, m_now);
     if (const auto *refused = std::get_if<TrialAnswer>(&decision))
         return after(Duration(1), [answer, given = *refused] { answer(given); });
     after(m_settings.storeLatency,
-          [this, instance, ask, answer, change = std::get<TrialChange>(decision)] {
+          [this, instance, request, answer, change = std::get<TrialChange>(decision)] {
               TrialPermits &permits = m_permits[instance];
               const bool done = write(change);
-              permits.written(change, done, m_trials.version(), m_trials.rows());
-              answer(permits.answer(ask.request, change, done, m_now));
+              permits.recordWrite(change, done, m_trials.version(), m_trials.rows());
+              answer(permits.answer(request.request, change, done, m_now));
           });
 }
 
-void CrashSimulation::endTrial(std::size_t instance, const FinishTrial &end)
+void CrashSimulation::finishTrial(std::size_t instance, const FinishTrial &finish)
 {
-    const auto change = m_permits[instance].release(end.digest, end.end);
+    const auto change = m_permits[instance].release(finish.digest, finish.outcome);
     if (!change)
         return;
     after(m_settings.storeLatency, [this, instance, change = *change] {
         const bool done = write(change);
-        m_permits[instance].written(change, done, m_trials.version(), {});
+        m_permits[instance].recordWrite(change, done, m_trials.version(), {});
     });
 }
 
@@ -355,27 +356,27 @@
     if (run->crashing)
         m_crashingSends[run->digest].push_back(m_now);
     m_runs.push_back(run);
-    if (m_engines[run->engine].ended) {
-        after(Network * 2, [this, run] { fail(run, AttemptFailure::NotSent); });
+    if (m_engines[run->engine].crashed) {
+        after(NetworkDelay * 2, [this, run] { fail(run, AttemptFailure::NotSent); });
         return;
     }
-    const auto reading = readingTime(m_engines[run->engine]);
+    const auto reading = timeToStart(m_engines[run->engine]);
     if (reading)
-        after(Network + *reading, [this, run] { begin(run); });
+        after(NetworkDelay + *reading, [this, run] { begin(run); });
     else
-        after(Network * 2, [this, run] { reject(run); });
+        after(NetworkDelay * 2, [this, run] { reject(run); });
 }
 
 /// Until the engine begins a request that arrives now; nothing when it rejects it.
-std::optional<Duration> CrashSimulation::readingTime(Engine &engine)
+std::optional<Duration> CrashSimulation::timeToStart(Engine &engine)
 {
     if (m_settings.prefillTime == Duration {})
         return between(40'000, 400'000);
-    const Time begins = std::max(engine.readsUntil, m_now);
+    const Time begins = std::max(engine.busyUntil, m_now);
     if (begins - m_now > m_settings.maxWait)
         return std::nullopt;
-    engine.readsUntil = begins + m_settings.prefillTime;
-    return engine.readsUntil - m_now;
+    engine.busyUntil = begins + m_settings.prefillTime;
+    return engine.busyUntil - m_now;
 }
 
 void CrashSimulation::reject(const std::shared_ptr<Run> &run)
@@ -391,31 +392,31 @@
 }
 
 /// A caller leaves when no event came since \a eventsLeft were left.
-void CrashSimulation::leaveIfSilent(std::size_t instance, FlightId flight, std::uint64_t eventsLeft)
+void CrashSimulation::leaveIfIdle(std::size_t instance, FlightId flight, std::uint64_t eventsLeft)
 {
     const auto caller = m_callers[instance].find(flight);
     if (caller == m_callers[instance].end())
         return;
     if (caller->second.eventsLeft == eventsLeft) {
-        m_harmless.gone += caller->second.crashing ? 0 : 1;
+        m_harmless.callersLeft += caller->second.crashing ? 0 : 1;
         m_callers[instance].erase(caller);
         return step(instance, [&](Relay &relay, RelayActions &actions) {
             relay.callerGone(flight, m_now, actions);
         });
     }
     after(m_settings.patience, [this, instance, flight, left = caller->second.eventsLeft] {
-        leaveIfSilent(instance, flight, left);
+        leaveIfIdle(instance, flight, left);
     });
 }
 
 void CrashSimulation::begin(const std::shared_ptr<Run> &run)
 {
-    if (run->over || stands(*run))
+    if (run->over || isDead(*run))
         return;
-    if (run->next && m_engines[*run->next].ended)
+    if (run->next && m_engines[*run->next].crashed)
         run->stalled = true;
     else if (run->crashing)
-        return after(between(30'000, 100'000), [this, run] { endUnder(run); });
+        return after(between(30'000, 100'000), [this, run] { crashUnder(run); });
     if (run->stalled)
         return;
     AnswerHead head;
@@ -428,23 +429,23 @@
 }
 
 /// Also when the request was given up since the engine began it.
-void CrashSimulation::endUnder(const std::shared_ptr<Run> &run)
+void CrashSimulation::crashUnder(const std::shared_ptr<Run> &run)
 {
     const bool middle = m_settings.crashKind == CrashKind::CrashesMiddle;
-    if (stands(*run) || (middle && (run->over || !run->next || m_engines[*run->next].ended)))
+    if (isDead(*run) || (middle && (run->over || !run->next || m_engines[*run->next].crashed)))
         return;
-    m_ends[run->digest].push_back(m_now);
+    m_crashes[run->digest].push_back(m_now);
     if (middle)
-        return endMiddle(*run->next);
+        return crashNext(*run->next);
     if (m_settings.crashKind == CrashKind::Hangs)
         return hang(run->engine);
-    endEngine(run->engine);
+    crashEngine(run->engine);
 }
 
 /// Whether the first engine of the run does nothing for it any more.
-bool CrashSimulation::stands(const Run &run) const
+bool CrashSimulation::isDead(const Run &run) const
 {
-    return m_engines[run.engine].ended || m_engines[run.engine].hangs;
+    return m_engines[run.engine].crashed || m_engines[run.engine].hangs;
 }
 
 void CrashSimulation::hang(std::size_t engine)
@@ -460,21 +461,21 @@
                 relay.applyEngineReports({{silent}, {}}, m_now, actions);
             });
     });
-    after(m_settings.restart, [this, engine] { endEngine(engine); });
+    after(m_settings.restart, [this, engine] { crashEngine(engine); });
 }
 
 /// Runs through it stand still at their first engines.
-void CrashSimulation::endMiddle(std::size_t engine)
+void CrashSimulation::crashNext(std::size_t engine)
 {
     for (const auto &run : m_runs)
         run->stalled = run->stalled || run->next == engine;
     for (const auto &run : m_runs)
         if (run->stalled && run->next == engine)
-            after(StallCut, [this, run, engine] {
+            after(StallTimeout, [this, run, engine] {
                 if (run->stalled && run->next == engine)
                     fail(run, AttemptFailure::Broken);
             });
-    endEngine(engine);
+    crashEngine(engine);
 }
 
 std::vector<std::string> CrashSimulation::stalledAt(std::size_t engine) const
@@ -489,13 +490,13 @@
 /// The first engine goes on along the new path.
 void CrashSimulation::changePath(std::size_t instance, const ChangePath &change)
 {
-    after(Network, [this, instance, change] {
+    after(NetworkDelay, [this, instance, change] {
         const auto found = std::find_if(m_runs.begin(), m_runs.end(), [&](const auto &run) {
             return !run->over && run->instance == instance && run->flight == change.flight
                    && run->attempt == change.attempt;
         });
         const std::size_t next = engineOf(change.path[1].endpoint);
-        const bool taken = found != m_runs.end() && !stands(**found) && !m_engines[next].ended;
+        const bool taken = found != m_runs.end() && !isDead(**found) && !m_engines[next].crashed;
         if (taken) {
             const std::shared_ptr<Run> run = *found;
             run->next = next;
@@ -506,7 +507,7 @@
         }
         step(instance, [&](Relay &relay, RelayActions &actions) {
             relay.pathChanged(change.flight, change.attempt,
-                              taken ? PathReply::Taken : PathReply::Lost, {}, m_now, actions);
+                              taken ? PathReply::Accepted : PathReply::Lost, {}, m_now, actions);
         });
     });
 }
@@ -514,7 +515,7 @@
 void CrashSimulation::nextEvent(const std::shared_ptr<Run> &run)
 {
     const auto caller = m_callers[run->instance].find(run->flight);
-    if (run->over || stands(*run) || run->stalled || caller == m_callers[run->instance].end())
+    if (run->over || isDead(*run) || run->stalled || caller == m_callers[run->instance].end())
         return;
     run->events += 1;
     caller->second.eventsLeft -= 1;
@@ -533,24 +534,24 @@
 {
     std::vector<std::size_t> used;
     for (const auto &run : m_runs)
-        if (!run->over && !m_engines[run->engine].ended)
+        if (!run->over && !m_engines[run->engine].crashed)
             used.push_back(run->engine);
     if (!used.empty())
-        endEngine(used[pick(used.size())]);
+        crashEngine(used[pick(used.size())]);
 }
 
-void CrashSimulation::endEngine(std::size_t engine)
+void CrashSimulation::crashEngine(std::size_t engine)
 {
-    m_engines[engine].ended = true;
+    m_engines[engine].crashed = true;
     for (const auto &run : std::vector(m_runs))
         if (run->engine == engine && !run->over)
-            after(Network + upTo(m_settings.breakSpread), [this, run] {
+            after(NetworkDelay + upTo(m_settings.breakSpread), [this, run] {
                 fail(run, run->events > 0 ? AttemptFailure::InvalidAnswer : AttemptFailure::Broken);
             });
     std::erase_if(m_runs, [&](const auto &run) { return run->over || run->engine == engine; });
     after(m_settings.delistDelay, [this, engine] {
         m_engines[engine].listed = false;
-        tellFleet();
+        publishFleet();
     });
     const Duration back = m_engines[engine].hangs ? Duration(1) : m_settings.restart;
     after(back, [this, domain = m_engines[engine].domain, layers = m_engines[engine].layers] {
@@ -576,60 +577,61 @@
     m_callers[instance].erase(caller);
 }
 
-void CrashSimulation::ended(std::size_t instance, const FinishFlight &end)
+void CrashSimulation::finished(std::size_t instance, const FinishFlight &finish)
 {
-    const auto it = m_callers[instance].find(end.flight);
+    const auto it = m_callers[instance].find(finish.flight);
     Caller caller = it->second;
     m_callers[instance].erase(it);
-    if (!caller.crashing && end.reason.starts_with("held back"))
+    if (!caller.crashing && finish.reason.starts_with("held back"))
         m_harmless.quarantined += 1;
-    if (end.end != FlightOutcome::Truncated && caller.retries > 0) {
+    if (finish.outcome != FlightOutcome::Truncated && caller.retries > 0) {
         caller.retries -= 1;
-        after(std::max(end.retryAfter, Duration(20'000)),
+        after(std::max(finish.retryAfter, Duration(20'000)),
               [this, caller] { submit(pick(m_settings.instances), caller); });
         return;
     }
     if (!caller.crashing)
-        (end.end == FlightOutcome::NotRun ? m_harmless.refused : m_harmless.broken) += 1;
+        (finish.outcome == FlightOutcome::NotExecuted ? m_harmless.refused : m_harmless.broken) +=
+            1;
 }
 
-void CrashSimulation::ask(std::size_t instance, const QueryEngine &ask)
+void CrashSimulation::queryEngine(std::size_t instance, const QueryEngine &query)
 {
-    after(Network * 2, [this, instance, asked = m_now, endpoint = ask.endpoint] {
+    after(NetworkDelay * 2, [this, instance, queriedAt = m_now, endpoint = query.endpoint] {
         const std::size_t engine = engineOf(endpoint);
-        if (m_engines[engine].hangs && !m_engines[engine].ended)
-            return after(QuestionWithin, [this, instance, endpoint] {
+        if (m_engines[engine].hangs && !m_engines[engine].crashed)
+            return after(QueryTimeout, [this, instance, endpoint] {
                 step(instance, [&](Relay &relay, RelayActions &actions) {
                     relay.queryFailed(endpoint, m_now, actions, false);
                 });
             });
         step(instance, [&](Relay &relay, RelayActions &actions) {
-            if (m_engines[engine].ended)
+            if (m_engines[engine].crashed)
                 relay.queryFailed(endpoint, m_now, actions, true);
             else {
-                relay.endpointAnswered(endpoint, asked);
-                relay.reported(endpoint, stalledAt(engine), 1, m_now, actions);
+                relay.endpointAnswered(endpoint, queriedAt);
+                relay.queryAnswered(endpoint, stalledAt(engine), 1, m_now, actions);
             }
         });
     });
 }
 
-std::vector<Time> CrashSimulation::ends() const
+std::vector<Time> CrashSimulation::crashes() const
 {
     std::vector<Time> most;
-    for (const auto &[digest, ends] : m_ends)
-        if (ends.size() > most.size())
-            most = ends;
+    for (const auto &[digest, crashes] : m_crashes)
+        if (crashes.size() > most.size())
+            most = crashes;
     return most;
 }
 
 std::size_t CrashSimulation::sendsAfterThirdCrash(Duration after) const
 {
     std::size_t most = 0;
-    for (const auto &[digest, ends] : m_ends) {
-        if (ends.size() < 3)
+    for (const auto &[digest, crashes] : m_crashes) {
+        if (crashes.size() < 3)
             continue;
-        const Time since = ends[2] + after;
+        const Time since = crashes[2] + after;
         const std::vector<Time> &sends = m_crashingSends.at(digest);
         const auto late =
             std::count_if(sends.begin(), sends.end(), [&](Time at) { return at > since; });
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -75,7 +75,7 @@
 
     /// When engines ended under the request that ends them; of several such requests
     /// the one under which most ended.
-    std::vector<Time> ends() const;
+    std::vector<Time> crashes() const;
 
     /// Sends that reached an engine or where one had been, later than \a after the
     /// third end under the same request; the most of one request.
@@ -88,7 +88,7 @@
         std::size_t passed = 0;
         std::size_t refused = 0;
         std::size_t broken = 0; ///< failed, or cut in the middle
-        std::size_t gone = 0; ///< their callers left
+        std::size_t callersLeft = 0; ///< their callers left
         std::size_t quarantined = 0; ///< taken for one that ends engines
     };
     const Harmless &harmless() const { return m_harmless; }
@@ -104,10 +104,10 @@
         std::string domain;
         std::string address;
         LayerRange layers;
-        bool ended = false;
+        bool crashed = false;
         bool hangs = false;
         bool listed = true;
-        Time readsUntil {};
+        Time busyUntil {};
     };
 
     struct Run
@@ -148,7 +148,7 @@
     void startInstance(std::size_t instance);
     LayerRange layersOf(std::size_t number) const;
     void startEngine(const std::string &domain, LayerRange layers);
-    void tellFleet();
+    void publishFleet();
     void tick(std::size_t instance);
     void arrive();
     void arriveCrashing();
@@ -157,25 +157,25 @@
     void act(std::size_t instance, RelayActions actions);
     void send(std::size_t instance, const SendRequest &send);
     void begin(const std::shared_ptr<Run> &run);
-    void endUnder(const std::shared_ptr<Run> &run);
+    void crashUnder(const std::shared_ptr<Run> &run);
     void hang(std::size_t engine);
-    void endMiddle(std::size_t engine);
+    void crashNext(std::size_t engine);
     void changePath(std::size_t instance, const ChangePath &change);
     std::vector<std::string> stalledAt(std::size_t engine) const;
-    bool stands(const Run &run) const;
+    bool isDead(const Run &run) const;
     void reject(const std::shared_ptr<Run> &run);
-    void leaveIfSilent(std::size_t instance, FlightId flight, std::uint64_t eventsLeft);
-    std::optional<Duration> readingTime(Engine &engine);
+    void leaveIfIdle(std::size_t instance, FlightId flight, std::uint64_t eventsLeft);
+    std::optional<Duration> timeToStart(Engine &engine);
     void nextEvent(const std::shared_ptr<Run> &run);
-    void endEngine(std::size_t engine);
+    void crashEngine(std::size_t engine);
     void fail(const std::shared_ptr<Run> &run, AttemptFailure failure);
-    void ended(std::size_t instance, const FinishFlight &end);
+    void finished(std::size_t instance, const FinishFlight &finish);
     void passed(std::size_t instance, FlightId flight);
-    void ask(std::size_t instance, const QueryEngine &ask);
-    void tell(const CrashUpdate &news);
-    void learn();
-    void askTrial(std::size_t instance, const RequestTrial &ask);
-    void endTrial(std::size_t instance, const FinishTrial &end);
+    void queryEngine(std::size_t instance, const QueryEngine &query);
+    void publish(const CrashUpdate &update);
+    void distribute();
+    void requestTrial(std::size_t instance, const RequestTrial &request);
+    void finishTrial(std::size_t instance, const FinishTrial &finish);
     bool write(const TrialChange &change);
     std::size_t engineOf(const std::string &id) const;
     Duration between(std::int64_t least, std::int64_t most);
@@ -196,10 +196,10 @@
     std::vector<Engine> m_engines;
     FleetPtr m_fleet;
     std::vector<std::shared_ptr<Run>> m_runs;
-    std::vector<CrashRecord> m_told; ///< by instances to each other
+    std::vector<CrashRecord> m_sharedCrashes; ///< by instances to each other
     std::vector<TrialPermits> m_permits; ///< by instance
     TrialStore m_trials;
-    std::map<std::string, std::vector<Time>> m_ends; ///< under each request that ends engines
+    std::map<std::string, std::vector<Time>> m_crashes; ///< under each request that ends engines
     std::map<std::string, std::vector<Time>> m_crashingSends;
     Harmless m_harmless;
     std::vector<Duration> m_waits;
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -194,7 +194,7 @@
         at(m_settings.reportLag, [this, snapshot, states] {
             for (std::size_t i = 0; i < m_relays.size(); ++i) {
                 RelayActions actions;
-                m_relays[i].follow(snapshot, m_now, actions);
+                m_relays[i].setFleet(snapshot, m_now, actions);
                 m_relays[i].applyEngineReports({states, {}}, m_now, actions);
                 carryOut(i, actions);
             }
@@ -283,7 +283,7 @@
     {
         Caller &caller = m_callers[instance][end.flight];
         caller.over = true;
-        (end.end == FlightOutcome::NotRun ? m_refused : m_cut) += 1;
+        (end.outcome == FlightOutcome::NotExecuted ? m_refused : m_cut) += 1;
     }
 
     void askEngine(std::size_t instance, const std::string &id)
@@ -298,7 +298,7 @@
                 for (const Run &run : m_runs)
                     if (!run.over && run.stalledSince && run.engines.front() == index)
                         stalled.push_back(m_engines[run.engines[run.stage]].endpoint.address);
-                m_relays[instance].reported(id, stalled, 1, m_now, actions);
+                m_relays[instance].queryAnswered(id, stalled, 1, m_now, actions);
             }
             carryOut(instance, actions);
         });
@@ -316,7 +316,7 @@
             at(Hop, [this, instance, change, taken] {
                 RelayActions actions;
                 m_relays[instance].pathChanged(change.flight, change.attempt,
-                                               taken ? PathReply::Taken : PathReply::Lost, {},
+                                               taken ? PathReply::Accepted : PathReply::Lost, {},
                                                m_now, actions);
                 carryOut(instance, actions);
             });
@@ -424,7 +424,7 @@
             AnswerHead head;
             head.status = 503;
             head.notExecuted = true;
-            head.atAddress = address;
+            head.faultyAddress = address;
             RelayActions actions;
             m_relays[run.instance].answered(run.flight, run.attempt, head, m_now, actions);
             carryOut(run.instance, actions);
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -65,15 +65,15 @@
         endpoint.layers = each.layers;
         m_endpoints.push_back(std::move(endpoint));
     }
-    tell();
+    publishFleet();
 }
 
-void RelayHarness::tell()
+void RelayHarness::publishFleet()
 {
     auto fleet = std::make_shared<FleetSnapshot>();
     fleet->number = m_next++;
     fleet->endpoints = m_endpoints;
-    relay.follow(fleet, now, actions);
+    relay.setFleet(fleet, now, actions);
 }
 
 FlightId RelayHarness::submit(RequestKind kind, Duration timeLeft, std::string digest)
@@ -91,8 +91,8 @@
     return relay.submit(std::move(request), now, actions);
 }
 
-void RelayHarness::listInstances(const std::vector<PeerInstance> &instances,
-                                 const std::string &self, Duration clock)
+void RelayHarness::setInstances(const std::vector<PeerInstance> &instances, const std::string &self,
+                                Duration clockBehind)
 {
     const auto own = std::find_if(instances.begin(), instances.end(),
                                   [&](const PeerInstance &each) { return each.name == self; });
@@ -102,10 +102,10 @@
         std::count_if(instances.begin(), instances.end(),
                       [&](const PeerInstance &each) { return each.domain == own->domain; });
     relay.setInstances(static_cast<std::size_t>(near), instances.size(), now);
-    relay.shareLimits(instances, self, clock, now);
+    relay.shareLimits(instances, self, clockBehind, now);
 }
 
-void RelayHarness::pass(Duration duration, Duration step)
+void RelayHarness::advance(Duration duration, Duration step)
 {
     const Time until = now + duration;
     while (now < until) {
@@ -121,11 +121,11 @@
     head.status = status;
     head.provenExecuted = provenExecuted;
     head.notExecuted = notExecuted;
-    head.atAddress = at;
+    head.faultyAddress = at;
     return relay.answered(flight, sends(flight).back().attempt, head, now, actions);
 }
 
-void RelayHarness::events(FlightId flight, std::uint64_t lastEvent)
+void RelayHarness::forwardEvents(FlightId flight, std::uint64_t lastEvent)
 {
     relay.eventsPassed(flight, sends(flight).back().attempt, lastEvent, now, actions);
 }
@@ -135,14 +135,14 @@
     relay.attemptFailed(flight, sends(flight).back().attempt, failure, now, actions);
 }
 
-void RelayHarness::endStream(FlightId flight)
+void RelayHarness::completeStream(FlightId flight)
 {
     relay.streamCompleted(flight, sends(flight).back().attempt, now, actions);
 }
 
-void RelayHarness::answerPathChange(FlightId flight, PathReply reply, const std::string &culprit)
+void RelayHarness::answerPathChange(FlightId flight, PathReply reply, const std::string &faulty)
 {
-    relay.pathChanged(flight, pathChanges(flight).back().attempt, reply, addressOf(culprit), now,
+    relay.pathChanged(flight, pathChanges(flight).back().attempt, reply, addressOf(faulty), now,
                       actions);
 }
 
@@ -151,13 +151,13 @@
     for (FleetEndpoint &each : m_endpoints)
         if (each.id == id)
             each.draining = true;
-    tell();
+    publishFleet();
 }
 
 void RelayHarness::remove(const std::string &id)
 {
     std::erase_if(m_endpoints, [&](const FleetEndpoint &each) { return each.id == id; });
-    tell();
+    publishFleet();
 }
 
 std::string RelayHarness::addressOf(const std::string &id) const
@@ -188,14 +188,14 @@
     return actionsOf<SendRequest>(actions, flight);
 }
 
-std::vector<RequestTrial> RelayHarness::trials(FlightId flight) const
+std::vector<RequestTrial> RelayHarness::trialRequests(FlightId flight) const
 {
     return actionsOf<RequestTrial>(actions, flight);
 }
 
 void RelayHarness::answerTrial(FlightId flight, const TrialAnswer &answer)
 {
-    relay.trialAnswered(flight, trials(flight).back().request, answer, now, actions);
+    relay.trialAnswered(flight, trialRequests(flight).back().request, answer, now, actions);
 }
 
 std::vector<ChangePath> RelayHarness::pathChanges(FlightId flight) const
@@ -203,10 +203,10 @@
     return actionsOf<ChangePath>(actions, flight);
 }
 
-std::optional<FinishFlight> RelayHarness::end(FlightId flight) const
+std::optional<FinishFlight> RelayHarness::finished(FlightId flight) const
 {
-    const auto ends = actionsOf<FinishFlight>(actions, flight);
-    return ends.empty() ? std::nullopt : std::make_optional(ends.front());
+    const auto finishes = actionsOf<FinishFlight>(actions, flight);
+    return finishes.empty() ? std::nullopt : std::make_optional(finishes.front());
 }
 
 bool RelayHarness::passed(FlightId flight) const
@@ -219,12 +219,12 @@
     return actionsOf<AbandonAttempt>(actions, flight).size();
 }
 
-std::vector<std::string> RelayHarness::asked() const
+std::vector<std::string> RelayHarness::queriedEngines() const
 {
     std::vector<std::string> found;
     for (const RelayAction &action : actions)
-        if (const auto *ask = std::get_if<QueryEngine>(&action))
-            found.push_back(ask->endpoint);
+        if (const auto *query = std::get_if<QueryEngine>(&action))
+            found.push_back(query->endpoint);
     return found;
 }
 
--- a/src/fakes/relayharness.h
+++ b/src/fakes/relayharness.h
@@ -31,23 +31,23 @@
                     std::string digest = {});
 
     /// The instances that share the endpoints, this one under the name \a self.
-    /// \a clock: by how much it is behind the time that they share.
-    void listInstances(const std::vector<PeerInstance> &instances, const std::string &self,
-                       Duration clock = {});
+    /// \a clockBehind: by how much it is behind the time that they share.
+    void setInstances(const std::vector<PeerInstance> &instances, const std::string &self,
+                      Duration clockBehind = {});
 
     /// Lets time pass in steps, with a tick after each.
-    void pass(Duration duration, Duration step = Duration(50'000));
+    void advance(Duration duration, Duration step = Duration(50'000));
 
     // What the engines do
 
     bool answer(FlightId flight, int status, bool provenExecuted = true, bool notExecuted = false,
                 std::string_view at = {});
-    void events(FlightId flight, std::uint64_t lastEvent);
+    void forwardEvents(FlightId flight, std::uint64_t lastEvent);
     void fail(FlightId flight, AttemptFailure failure);
-    void endStream(FlightId flight);
+    void completeStream(FlightId flight);
 
     /// Answers the last order to change a path that is not yet answered.
-    void answerPathChange(FlightId flight, PathReply reply, const std::string &culprit = {});
+    void answerPathChange(FlightId flight, PathReply reply, const std::string &faulty = {});
 
     /// Answers the last question for the permit to try the flight's request.
     void answerTrial(FlightId flight, const TrialAnswer &answer);
@@ -63,18 +63,18 @@
     /// Sends of a flight, first to last.
     std::vector<SendRequest> sends(FlightId flight) const;
     std::vector<ChangePath> pathChanges(FlightId flight) const;
-    std::vector<RequestTrial> trials(FlightId flight) const;
-    std::optional<FinishFlight> end(FlightId flight) const;
+    std::vector<RequestTrial> trialRequests(FlightId flight) const;
+    std::optional<FinishFlight> finished(FlightId flight) const;
     bool passed(FlightId flight) const;
     std::size_t abandoned(FlightId flight) const;
-    std::vector<std::string> asked() const;
+    std::vector<std::string> queriedEngines() const;
 
     Relay relay;
     Time now {std::chrono::hours(1)};
     RelayActions actions;
 
 private:
-    void tell();
+    void publishFleet();
 
     RouteMapPtr m_table;
     std::vector<FleetEndpoint> m_endpoints;
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -219,7 +219,7 @@
     std::pair<PathReply, std::string> parsePathReply(int status,
                                                      std::string_view /*body*/) const override
     {
-        return {status == 200   ? PathReply::Taken
+        return {status == 200   ? PathReply::Accepted
                 : status == 409 ? PathReply::Refused
                                 : PathReply::Lost,
                 {}};
--- a/src/include/balsamloft/eventsplitter.h
+++ b/src/include/balsamloft/eventsplitter.h
@@ -16,22 +16,23 @@
 class EventSplitter
 {
 public:
-    /// Adds \a bytes and appends the events that are whole to \a whole. Events
+    /// Adds \a bytes and appends the events that are whole to \a complete. Events
     /// at or before \a after were passed already and are left out.
     /// \return how many events were appended.
-    std::size_t add(std::string_view bytes, std::optional<std::uint64_t> after, std::string &whole);
+    std::size_t add(std::string_view bytes, std::optional<std::uint64_t> after,
+                    std::string &complete);
 
     /// Id of the last whole event that had one.
     std::optional<std::uint64_t> lastId() const { return m_lastId; }
 
     /// Whether bytes of an unfinished event are held.
-    bool partial() const { return !m_rest.empty(); }
+    bool partial() const { return !m_buffer.empty(); }
 
     /// Bytes held of an unfinished event.
-    std::size_t held() const { return m_rest.size(); }
+    std::size_t bufferedBytes() const { return m_buffer.size(); }
 
 private:
-    std::string m_rest;
+    std::string m_buffer;
     std::optional<std::uint64_t> m_lastId;
 };
 
--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -120,10 +120,10 @@
     void requestSucceeded(const std::string &digest, Time now);
 
     /// All that instances have told each other, as of now.
-    void learn(const std::vector<CrashRecord> &all);
+    void setShared(const std::vector<CrashRecord> &all);
 
     /// What is to be told to other instances now.
-    CrashUpdate news(Time now);
+    CrashUpdate takeUpdate(Time now);
 
     // Queries
 
@@ -144,53 +144,53 @@
     /// Endpoints of which it is not known whether they ended, though it could be by now.
     std::vector<std::string> unconfirmedEndpoints(Time now) const;
 
-    std::size_t suspected() const { return m_requests.size(); }
+    std::size_t suspectCount() const { return m_requests.size(); }
     std::size_t quarantinedCount(Time now) const;
 
 private:
-    enum class Stage : std::uint8_t { Doubtful, Own, Told, Shared };
+    enum class Stage : std::uint8_t { Unconfirmed, Confirmed, Published, Shared };
 
     /// How a run ended, or stopped, at an endpoint.
-    enum class Sign : std::uint8_t {
-        BrokenOff, ///< by the endpoint itself
-        GivenUp, ///< by an instance
+    enum class Interruption : std::uint8_t {
+        Broken, ///< by the endpoint itself
+        Abandoned, ///< by an instance
         Stalled, ///< it waits for the endpoint
     };
 
     struct Crash
     {
         Time at {};
-        Stage stage = Stage::Doubtful;
-        Sign sign = Sign::BrokenOff;
-        bool own = false; ///< seen by this instance itself
-        Time settledFrom {}; ///< an endpoint that is alive from then on did not end under it
+        Stage stage = Stage::Unconfirmed;
+        Interruption interruption = Interruption::Broken;
+        bool observedHere = false; ///< seen by this instance itself
+        Time clearedIfAliveAt {}; ///< an endpoint that is alive from then on did not end under it
     };
     using Crashes = std::map<std::string, Crash, std::less<>>; ///< by endpoint
 
-    bool guilty(const std::string &digest, const Crashes &under, Time now) const;
-    Duration unsettledFor(const std::string &digest, Time now) const;
-    Time lastEnd(const std::string &digest) const;
-    bool cameThroughBefore(const std::string &digest, const Crashes &under) const;
-    void settle(const std::string &endpoint, Time endedAt, Time last);
-    void clearDoubts(const std::string &endpoint, Time aliveAt, bool ofThoseCut);
-    void doubt(const std::string &digest, const std::string &endpoint, Crash crash);
-    bool counts(const Crash &crash, Time now) const;
-    bool sawItself(const std::string &digest, const std::string &endpoint) const;
-    bool seenByOthers(const Crashes &under, Time now) const;
+    bool isConfirmedCause(const std::string &digest, const Crashes &under, Time now) const;
+    Duration deferredFor(const std::string &digest, Time now) const;
+    Time lastCrash(const std::string &digest) const;
+    bool succeededBefore(const std::string &digest, const Crashes &under) const;
+    void confirmCrashes(const std::string &endpoint, Time endedAt, Time last);
+    void clearUnconfirmed(const std::string &endpoint, Time aliveAt, bool includingBroken);
+    void addUnconfirmed(const std::string &digest, const std::string &endpoint, Crash crash);
+    bool isCounted(const Crash &crash, Time now) const;
+    bool wasObservedHere(const std::string &digest, const std::string &endpoint) const;
+    bool observedElsewhere(const Crashes &under, Time now) const;
     bool explainedByOther(const std::string &digest, const std::string &endpoint, Time now) const;
     void add(const std::string &digest, const std::string &endpoint, Crash crash);
-    void forget(const std::string &digest, const std::string &endpoint);
-    void forgetExpired(Time now, CrashUpdate &news);
-    bool makeRoom();
-    bool worthTelling(const Crashes &crashes, const Crash &crash, Time now) const;
+    void remove(const std::string &digest, const std::string &endpoint);
+    void removeExpired(Time now, CrashUpdate &update);
+    bool evictOldest();
+    bool shouldPublish(const Crashes &crashes, const Crash &crash, Time now) const;
 
     QuarantineSettings m_settings;
     std::unordered_map<std::string, Crashes> m_requests; ///< by digest
     std::map<std::string, std::set<std::string>, std::less<>> m_onEndpoint; ///< digests
-    std::size_t m_shared = 0; ///< records that instances have told each other
+    std::size_t m_sharedCount = 0; ///< records that instances have told each other
     std::vector<CrashRecord> m_retracted; ///< told to others before, and not true
-    std::unordered_map<std::string, Time> m_good; ///< when digests came through last
-    std::deque<std::string> m_goodOrder; ///< oldest first
+    std::unordered_map<std::string, Time> m_successes; ///< when digests came through last
+    std::deque<std::string> m_successOrder; ///< oldest first
 };
 
 } // namespace balsamloft
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -43,7 +43,7 @@
     int status = 0;
     bool notExecuted = false; ///< the endpoint promises that it did not run the request
     bool provenExecuted = false; ///< bears the mark of an endpoint that ran the request
-    std::string_view atAddress; ///< the engine at fault, when another one than asked
+    std::string_view faultyAddress; ///< the engine at fault, when another one than asked
     std::optional<std::uint32_t> running; ///< requests at the endpoint
     /// Requests a second that the endpoint takes from all instances together; nothing: as
     /// many as it can.
@@ -82,14 +82,14 @@
 
 /// How an engine answered the order to change a path.
 enum class PathReply : std::uint8_t {
-    Taken,
+    Accepted,
     Refused, ///< an engine of the new path cannot
     Lost, ///< no such request there, or no answer
 };
 
 /// How a flight ends without an endpoint's answer.
 enum class FlightOutcome : std::uint8_t {
-    NotRun, ///< a promise: nothing ran, nothing will
+    NotExecuted, ///< a promise: nothing ran, nothing will
     Failed, ///< it may have run
     TimedOut, ///< it may have run; its time is over
     Truncated, ///< events were passed already: the answer must not look complete
@@ -99,7 +99,7 @@
 struct FinishFlight
 {
     FlightId flight = 0;
-    FlightOutcome end = FlightOutcome::NotRun;
+    FlightOutcome outcome = FlightOutcome::NotExecuted;
     Duration retryAfter {}; ///< when to come back; only for NotRun
     std::string reason;
 };
@@ -128,7 +128,7 @@
 /// Have all instances know which requests were on endpoints that ended.
 struct PublishCrashes
 {
-    CrashUpdate news;
+    CrashUpdate update;
 };
 
 /// Ask for the permit to try a request under suspicion; Relay::trialAnswered() follows.
@@ -142,7 +142,7 @@
 struct FinishTrial
 {
     std::string digest;
-    TrialOutcome end = TrialOutcome::Inconclusive;
+    TrialOutcome outcome = TrialOutcome::Inconclusive;
 };
 
 using RelayAction = std::variant<SendRequest, AbandonAttempt, PassAnswer, FinishFlight, QueryEngine,
@@ -178,7 +178,7 @@
     std::uint32_t extraSends = 2; ///< sends beyond the attempts, after proof that nothing ran
     /// A request that passes events for so long on one endpoint does not end endpoints
     /// by being run.
-    Duration runsWell {1'000'000};
+    Duration harmlessAfter {1'000'000};
     Duration trialRetryInterval {200'000}; ///< after an endpoint that was taken
     /// Spread of choices for requests that an endpoint's end cut: together on the next
     /// endpoint, none could be told from the one that ends endpoints.
@@ -191,7 +191,7 @@
 {
     std::uint64_t submitted = 0;
     std::uint64_t passed = 0;
-    std::uint64_t notRun = 0;
+    std::uint64_t notExecuted = 0;
     std::uint64_t failed = 0;
     std::uint64_t timedOut = 0;
     std::uint64_t truncated = 0;
@@ -229,15 +229,15 @@
     void streamCompleted(FlightId id, std::uint32_t attempt, Time now, RelayActions &actions);
     void callerGone(FlightId id, Time now, RelayActions &actions);
 
-    /// The first engine answered a ChangePath, or did not; \a atAddress: the engine
+    /// The first engine answered a ChangePath, or did not; \a faultyAddress: the engine
     /// that has no room or not the part, when it was told.
     void pathChanged(FlightId id, std::uint32_t attempt, PathReply reply,
-                     std::string_view atAddress, Time now, RelayActions &actions);
+                     std::string_view faultyAddress, Time now, RelayActions &actions);
 
     /// An engine answered QueryEngine: \a stalledAt are addresses of engines that
     /// do not answer it.
-    void reported(const std::string &endpoint, const std::vector<std::string> &stalledAt,
-                  double pace, Time now, RelayActions &actions);
+    void queryAnswered(const std::string &endpoint, const std::vector<std::string> &stalledAt,
+                       double slowdown, Time now, RelayActions &actions);
 
     /// An engine did not answer QueryEngine; \a refused: nobody listens at its address.
     void queryFailed(const std::string &endpoint, Time now, RelayActions &actions,
@@ -250,7 +250,7 @@
     }
 
     /// All that instances told each other about endpoints that ended under requests.
-    void setSharedCrashes(const std::vector<CrashRecord> &all) { m_quarantine.learn(all); }
+    void setSharedCrashes(const std::vector<CrashRecord> &all) { m_quarantine.setShared(all); }
 
     /// The answer to RequestTrial with \a request.
     void trialAnswered(FlightId id, const TrialRequest &request, const TrialAnswer &answer,
@@ -258,7 +258,7 @@
 
     /// This process stood still for an unknown time: permits may have run out.
     void expireTrials();
-    void follow(FleetPtr fleet, Time now, RelayActions &actions);
+    void setFleet(FleetPtr fleet, Time now, RelayActions &actions);
     void tick(Time now, RelayActions &actions);
 
     /// States of engines, as this or another instance asked for them.
@@ -268,9 +268,9 @@
     void setInstances(std::size_t inDomain, std::size_t all, Time now);
 
     /// Which instances share the rate limits of endpoints, this one under the name \a self;
-    /// \a clock: the time that they all know less the present time that is passed here.
-    void shareLimits(std::span<const PeerInstance> all, const std::string &self, Duration clock,
-                     Time now);
+    /// \a clockOffset: the time that they all know less the present time that is passed here.
+    void shareLimits(std::span<const PeerInstance> all, const std::string &self,
+                     Duration clockOffset, Time now);
 
     /// Repeats for each request of this instance, and beyond that in a window by all.
     void setRetries(double ratio, double slack);
@@ -284,7 +284,7 @@
     std::optional<std::uint64_t> lastEvent(FlightId id) const;
     std::size_t flights() const { return m_flights.size(); }
     const RelayCounts &counts() const { return m_counts; }
-    const EngineTracker &book() const { return m_book; }
+    const EngineTracker &engines() const { return m_engines; }
     const Quarantine &quarantine() const { return m_quarantine; }
     const RateLimits &rateLimits() const { return m_limits; }
 
@@ -294,14 +294,14 @@
     /// The permit of a flight whose request is under suspicion.
     struct Trial
     {
-        enum class State : std::uint8_t { None, Asked, Granted, Sent };
+        enum class State : std::uint8_t { None, Requested, Granted, Sent };
 
         State state = State::None;
         std::string endpoint; ///< where the request runs first
         std::optional<PathPart> first; ///< the same with its layers, of a layered model
-        Time askedAt {};
+        Time requestedAt {};
         Time until {}; ///< it lasts
-        std::set<std::string> taken; ///< endpoints where something else was tried
+        std::set<std::string> busyEndpoints; ///< endpoints where something else was tried
     };
 
     struct Flight
@@ -312,21 +312,21 @@
         Time waitingSince {};
         std::uint32_t attempt = 0; ///< number of the present one
         std::uint32_t sends = 0;
-        std::vector<std::string> ranAt; ///< endpoints that may have run it
+        std::vector<std::string> mayHaveRunAt; ///< endpoints that may have run it
         std::vector<PathPart> path;
         std::string endpoint; ///< first engine or plain endpoint
         std::string domain;
         Time sentAt {};
         Time progressAt {}; ///< last event, or the send
-        Duration expectedGap {};
-        Duration expectedFirst {};
-        std::optional<Time> pathAskedAt; ///< a ChangePath that is not yet answered
+        Duration expectedEventInterval {};
+        Duration expectedFirstEvent {};
+        std::optional<Time> pathChangeSentAt; ///< a ChangePath that is not yet answered
         std::uint32_t pathChanges = 0; ///< of this attempt
-        bool passing = false; ///< events went to the caller
+        bool eventsForwarded = false; ///< events went to the caller
         std::optional<Time> firstEventAt; ///< of the present attempt
-        bool runsWell = false; ///< on some endpoint, so that it ends none by being run
-        bool cutEarly = false; ///< an endpoint broke it off before it ran well
-        bool repeatOwed = false; ///< its next send takes a repeat that was not there yet
+        bool provenHarmless = false; ///< on some endpoint, so that it ends none by being run
+        bool failedEarly = false; ///< an endpoint broke it off before it ran well
+        bool owesRetry = false; ///< its next send takes a repeat that was not there yet
         std::optional<std::uint64_t> lastEvent;
         std::set<std::string> avoid; ///< endpoints that failed it
         Trial trial;
@@ -341,74 +341,76 @@
     void dispatch(FlightId id, Flight &flight, Time now, RelayActions &actions);
     std::optional<EnginePath> findPath(const Flight &flight, const std::set<std::string> &without,
                                        Time now);
-    static std::set<std::string> notToUse(const Flight &flight);
-    std::set<std::string> beyondLimit(const Flight &flight, Time now);
+    static std::set<std::string> excludedEndpoints(const Flight &flight);
+    std::set<std::string> rateLimitedEndpoints(const Flight &flight, Time now);
     bool choosePath(Flight &flight, Time now, SendRequest &send);
-    void expect(Flight &flight, const EnginePath &path);
-    void occupy(const Flight &flight);
-    void vacate(const Flight &flight);
-    void crossDomains(const Flight &flight, Time now);
+    void setExpectedTimes(Flight &flight, const EnginePath &path);
+    void addLoad(const Flight &flight);
+    void removeLoad(const Flight &flight);
+    void recordTransfers(const Flight &flight, Time now);
     bool changePath(FlightId id, Flight &flight, Time now, RelayActions &actions);
     bool chooseEndpoint(Flight &flight, Time now, SendRequest &send);
     double endpointCost(const FleetEndpoint &endpoint, const std::set<std::string> &avoid,
                         Time now);
-    void sent(Flight &flight, const SendRequest &send, Time now);
-    void release(Flight &flight);
-    void again(FlightId id, Flight &flight, bool ran, const std::string &culprit,
+    void recordSent(Flight &flight, const SendRequest &send, Time now);
+    void endAttempt(Flight &flight);
+    void retry(FlightId id, Flight &flight, bool mayHaveRun, const std::string &faultyEndpoint,
                std::string reason, Time now, RelayActions &actions);
     bool mayRunAgain(const Flight &flight, std::string_view alsoAt = {}) const;
-    bool payRepeat(const Flight &flight, Time now);
-    bool sentOftenEnough(const Flight &flight) const;
+    bool withdrawRetry(const Flight &flight, Time now);
+    bool sendLimitReached(const Flight &flight) const;
 
     // Requests under which endpoints end
-    void noteBrokenOff(Flight &flight, Time now, RelayActions &actions);
-    void noteGivenUp(const Flight &flight, Time now);
-    void noteStalled(Flight &flight, const std::string &endpoint, Time now);
-    void noteProgress(Flight &flight, Time now, RelayActions &actions);
-    bool underSuspicion(const Flight &flight, Time now) const;
+    void recordBroken(Flight &flight, Time now, RelayActions &actions);
+    void recordAbandoned(const Flight &flight, Time now);
+    void recordStalled(Flight &flight, const std::string &endpoint, Time now);
+    void recordProgress(Flight &flight, Time now, RelayActions &actions);
+    bool isSuspected(const Flight &flight, Time now) const;
     bool awaitTrial(FlightId id, Flight &flight, Time now, RelayActions &actions);
     bool choose(Flight &flight, Time now, SendRequest &send);
-    void endTrial(Flight &flight, TrialOutcome end, RelayActions &actions);
+    void finishTrial(Flight &flight, TrialOutcome outcome, RelayActions &actions);
     bool mayRun(const Flight &flight, Time now) const;
-    bool holdBack(FlightId id, Flight &flight, Time now, RelayActions &actions);
-    void endHeld(FlightId id, const Flight &flight, Duration wait, Time now, RelayActions &actions);
+    bool blockIfSuspected(FlightId id, Flight &flight, Time now, RelayActions &actions);
+    void finishBlocked(FlightId id, const Flight &flight, Duration wait, Time now,
+                       RelayActions &actions);
     bool recall(FlightId id, Flight &flight, Time now, RelayActions &actions);
-    void settleDoubts(Time now);
-    void askDoubtful(Time now, RelayActions &actions);
-    void tellCrashes(Time now, RelayActions &actions);
-    void passAnswer(FlightId id, Flight &flight, bool ranWell, Time now, RelayActions &actions);
+    void resolveUnconfirmed(Time now);
+    void queryUnconfirmed(Time now, RelayActions &actions);
+    void publishCrashes(Time now, RelayActions &actions);
+    void passAnswer(FlightId id, Flight &flight, bool succeeded, Time now, RelayActions &actions);
 
     bool worthMoving(const Flight &flight, Time now);
 
     /// How a flight that is given up now ends; \a ran: where it may have run.
-    static FlightOutcome endOf(const Flight &flight, FlightOutcome ran);
-    void end(FlightId id, FlightOutcome how, std::string reason, RelayActions &actions,
-             std::optional<Duration> retryAfter = {});
-    void noteLimit(const Flight &flight, const AnswerHead &head, Time now);
-    void rejected(FlightId id, Flight &flight, const AnswerHead &head, Time now,
-                  RelayActions &actions);
+    static FlightOutcome outcomeOf(const Flight &flight, FlightOutcome ifMayHaveRun);
+    void finish(FlightId id, FlightOutcome outcome, std::string reason, RelayActions &actions,
+                std::optional<Duration> retryAfter = {});
+    void recordRateLimit(const Flight &flight, const AnswerHead &head, Time now);
+    void handleRejection(FlightId id, Flight &flight, const AnswerHead &head, Time now,
+                         RelayActions &actions);
     void watch(FlightId id, Flight &flight, Time now, RelayActions &actions);
     void watchStream(FlightId id, Flight &flight, Time now, RelayActions &actions);
-    void giveUpWaiting(FlightId id, Flight &flight, Time now, RelayActions &actions);
-    void recover(FlightId id, Flight &flight, std::string reason, Time now, RelayActions &actions);
-    void ask(const std::string &endpoint, Time now, RelayActions &actions);
-    void forgiveLostTime(Time now);
+    void watchWaiting(FlightId id, Flight &flight, Time now, RelayActions &actions);
+    void abandonAndRetry(FlightId id, Flight &flight, std::string reason, Time now,
+                         RelayActions &actions);
+    void queryEngine(const std::string &endpoint, Time now, RelayActions &actions);
+    void discountPause(Time now);
     std::optional<std::string> firstSuspect(const Flight &flight, Time now) const;
     double slackShare() const;
-    double ownNeed(const Flight &flight, const PathPart &part) const;
+    double tokenLayers(const Flight &flight, const PathPart &part) const;
     std::vector<FlightId> flightIds() const;
 
     RelaySettings m_settings;
     std::mt19937_64 m_random;
     PathChooser m_chooser;
-    EngineTracker m_book;
+    EngineTracker m_engines;
     Quarantine m_quarantine;
     RateLimits m_limits;
     FleetPtr m_fleet;
     FlightMap m_flights;
     std::map<std::string, RetryWindow, std::less<>> m_budgets; ///< by service
     std::deque<std::pair<Time, std::size_t>> m_instanceCounts; ///< of the last window
-    std::map<std::string, Time, std::less<>> m_askedAt;
+    std::map<std::string, Time, std::less<>> m_queriedAt;
     Time m_lastTick {};
     FlightId m_nextFlight = 1;
     RelayCounts m_counts;
--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -18,10 +18,11 @@
 {
     std::string key; ///< see contentTrialKey(), endpointTrialKey()
     std::uint64_t version = 0; ///< 0: there is none
-    std::string at; ///< the content's endpoint, or the endpoint's content; empty: it is over
+    std::string
+        counterpart; ///< the content's endpoint, or the endpoint's content; empty: it is over
     std::string holder; ///< process that was permitted to try
     Time until {}; ///< on the store's clock
-    std::uint32_t tries = 0; ///< of the content while it is as good as found out
+    std::uint32_t trials = 0; ///< of the content while it is as good as found out
 };
 
 std::string contentTrialKey(std::string_view digest);
@@ -50,7 +51,7 @@
 struct TrialAnswer
 {
     bool granted = false;
-    Duration lasts {}; ///< the permit, from the moment in which it was asked for
+    Duration validFor {}; ///< the permit, from the moment in which it was asked for
     bool endpointBusy = false; ///< something else is tried there
     Duration wait {}; ///< until it is worth asking again
 };
@@ -66,7 +67,7 @@
 struct TrialSettings
 {
     std::string holder; ///< unique to this process
-    Duration lasts {5'000'000};
+    Duration validFor {5'000'000};
     /// A holder that lives has told by then how its try ended. Longer than it takes until
     /// a dead endpoint is no longer listed, so that the end of an endpoint shows.
     Duration margin {5'000'000};
@@ -88,20 +89,20 @@
     // Commands
 
     /// All rows, and all ends that instances told each other, as the store has them now.
-    void learn(std::vector<TrialRow> rows, std::span<const CrashRecord> crashes);
+    void setRows(std::vector<TrialRow> rows, std::span<const CrashRecord> crashes);
 
     /// The transaction of \a change was answered. \a committed: with the version \a version.
     /// \a found: the rows as they are when a condition failed.
-    void written(const TrialChange &change, bool committed, std::uint64_t version,
-                 std::span<const TrialRow> found);
+    void recordWrite(const TrialChange &change, bool committed, std::uint64_t version,
+                     std::span<const TrialRow> found);
 
     // Queries
 
     /// What is to be written for \a request, or why it is refused.
-    std::variant<TrialChange, TrialAnswer> ask(const TrialRequest &request,
-                                               const FleetSnapshot &fleet, Time storeNow) const;
+    std::variant<TrialChange, TrialAnswer> decide(const TrialRequest &request,
+                                                  const FleetSnapshot &fleet, Time storeNow) const;
 
-    /// The answer once the transaction was: \a asked is what ask() gave.
+    /// The answer once the transaction was: \a asked is what decide() gave.
     TrialAnswer answer(const TrialRequest &request, const TrialChange &asked, bool committed,
                        Time storeNow) const;
 
@@ -115,9 +116,9 @@
 
 private:
     TrialRow row(const std::string &key) const;
-    bool runs(const TrialRow &row, Time storeNow) const;
-    bool endTold(const std::string &digest, const std::string &endpoint) const;
-    Duration waitFor(const TrialRow &row, Time storeNow) const;
+    bool isRunning(const TrialRow &row, Time storeNow) const;
+    bool crashPublished(const std::string &digest, const std::string &endpoint) const;
+    Duration retryDelay(const TrialRow &row, Time storeNow) const;
 
     TrialSettings m_settings;
     std::map<std::string, TrialRow, std::less<>> m_rows; ///< by key
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -23,9 +23,9 @@
 /// Sends later than KnownEverywhere that the fleet bears.
 constexpr std::size_t MostLateSends = 3;
 
-FlightId submitBad(RelayHarness &world, RequestKind kind = RequestKind::Stream)
+FlightId submitBad(RelayHarness &harness, RequestKind kind = RequestKind::Stream)
 {
-    return world.submit(kind, Duration(20'000'000), "bad");
+    return harness.submit(kind, Duration(20'000'000), "bad");
 }
 
 std::vector<RelayEngine> wholeEngines()
@@ -33,25 +33,25 @@
     return {{"e1", {0, 8}}, {"e2", {0, 8}}, {"e3", {0, 8}}, {"e4", {0, 8}}, {"p1", {}}, {"p2", {}}};
 }
 
-/// Others saw \a ends endpoints end under the request, a while ago.
-void learnEnds(RelayHarness &world, int ends)
+/// Others saw \a crashes endpoints end under the request, a while ago.
+void learnEnds(RelayHarness &harness, int crashes)
 {
     std::vector<CrashRecord> told;
-    for (int i = 0; i < ends; ++i)
-        told.push_back({"bad", "gone" + std::to_string(i), world.now});
-    world.relay.setSharedCrashes(told);
-    world.pass(seconds(3));
+    for (int i = 0; i < crashes; ++i)
+        told.push_back({"bad", "gone" + std::to_string(i), harness.now});
+    harness.relay.setSharedCrashes(told);
+    harness.advance(seconds(3));
 }
 
 /// A few engines ended before anything could be known, one more for each try that the fleet
 /// permitted, and nobody harmless was held.
-void checkFoundOut(const CrashSimulation &world, std::size_t instances)
+void checkFoundOut(const CrashSimulation &simulation, std::size_t instances)
 {
-    INFO(instances << " instances, " << world.ends().size() << " ends");
-    const std::size_t tries = world.sendsAfterThirdCrash(KnownEverywhere);
+    INFO(instances << " instances, " << simulation.crashes().size() << " ends");
+    const std::size_t tries = simulation.sendsAfterThirdCrash(KnownEverywhere);
     CHECK(tries <= MostLateSends);
-    CHECK(world.ends().size() <= MostEnds + tries);
-    CHECK(world.harmless().quarantined == 0);
+    CHECK(simulation.crashes().size() <= MostEnds + tries);
+    CHECK(simulation.harmless().quarantined == 0);
 }
 
 } // namespace
@@ -62,10 +62,10 @@
 {
     CrashSimulationSettings settings;
     settings.seed = GENERATE(range(1, 9));
-    CrashSimulation world(settings);
-    world.run(seconds(60));
-    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(world.ends().size() <= MostEnds);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(60));
+    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
+    CHECK(simulation.crashes().size() <= MostEnds);
 }
 
 // Guards against a neighbour's broken connection, read a moment later, that is taken for a
@@ -78,11 +78,11 @@
     settings.crashingInterval = Duration(1'000'000);
     settings.enginesPerDomain = 2;
     settings.seed = GENERATE(range(1, 9));
-    CrashSimulation world(settings);
-    world.run(seconds(40));
-    INFO(world.ends().size() << " ends");
-    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(world.ends().size() <= MostEnds);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(40));
+    INFO(simulation.crashes().size() << " ends");
+    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
+    CHECK(simulation.crashes().size() <= MostEnds);
 }
 
 // Guards against an earlier success that clears a request of all that it does later.
@@ -91,10 +91,10 @@
     CrashSimulationSettings settings;
     settings.harmlessFor = Duration(13'000'000);
     settings.seed = GENERATE(range(1, 9));
-    CrashSimulation world(settings);
-    world.run(seconds(60));
-    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) <= MostLateSends);
-    CHECK(world.ends().size() <= MostEndsInDoubt);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(60));
+    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) <= MostLateSends);
+    CHECK(simulation.crashes().size() <= MostEndsInDoubt);
 }
 
 // Guards against what is left of one such request and keeps the next from being found out.
@@ -104,10 +104,10 @@
     settings.crashingLifetime = Duration(15'000'000);
     settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 5));
-    CrashSimulation world(settings);
-    world.run(seconds(60));
-    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(world.ends().size() <= MostEnds);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(60));
+    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
+    CHECK(simulation.crashes().size() <= MostEnds);
 }
 
 // Guards against as many ends as there are instances that do not know of each other's.
@@ -118,10 +118,10 @@
     settings.enginesPerDomain = 20;
     settings.requestsPerSecond = 200;
     settings.crashingInterval = Duration(1'000'000);
-    CrashSimulation world(settings);
-    world.run(seconds(30));
-    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(world.ends().size() <= MostEnds);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(30));
+    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
+    CHECK(simulation.crashes().size() <= MostEnds);
 }
 
 // Guards against a permission that each instance gives alone, at a moment that all share.
@@ -132,13 +132,13 @@
     settings.crashingInterval = Duration(100'000);
     settings.crashingRetries = 1;
     settings.seed = GENERATE(range(1, 4));
-    CrashSimulation world(settings);
-    world.addSuspects(5);
-    world.run(seconds(35));
-    INFO(settings.instances << " instances, " << world.ends().size() << " ends");
-    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) <= MostLateSends);
-    CHECK(world.harmless().quarantined == 0);
-    CHECK(world.waits().size() == 5);
+    CrashSimulation simulation(settings);
+    simulation.addSuspects(5);
+    simulation.run(seconds(35));
+    INFO(settings.instances << " instances, " << simulation.crashes().size() << " ends");
+    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) <= MostLateSends);
+    CHECK(simulation.harmless().quarantined == 0);
+    CHECK(simulation.waits().size() == 5);
 }
 
 // Guards against a request whose path leads to one engine after another behind a first one that
@@ -151,9 +151,9 @@
     settings.instances = GENERATE(6, 76, 295);
     settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 6));
-    CrashSimulation world(settings);
-    world.run(seconds(30));
-    checkFoundOut(world, settings.instances);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(30));
+    checkFoundOut(simulation, settings.instances);
 }
 
 // Guards against engines that are silent and not gone, one after another.
@@ -165,9 +165,9 @@
     settings.instances = GENERATE(6, 76, 295);
     settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 3));
-    CrashSimulation world(settings);
-    world.run(seconds(25));
-    checkFoundOut(world, settings.instances);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(25));
+    checkFoundOut(simulation, settings.instances);
 }
 
 // Guards against copies that wait at engines while it becomes known what they do.
@@ -177,10 +177,10 @@
     CrashSimulationSettings settings;
     settings.crashingCopies = 3;
     settings.seed = GENERATE(range(1, 9));
-    CrashSimulation world(settings);
-    world.run(seconds(30));
-    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(world.harmless().quarantined == 0);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(30));
+    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
+    CHECK(simulation.harmless().quarantined == 0);
 }
 
 // Guards against a domain without the store, where each instance learns by its own ends alone.
@@ -190,10 +190,10 @@
     settings.storeUnreachable = true;
     settings.instances = GENERATE(6, 76, 295);
     settings.crashingInterval = Duration(500'000);
-    CrashSimulation world(settings);
-    world.run(seconds(40));
-    INFO(settings.instances << " instances, " << world.ends().size() << " ends");
-    CHECK(world.ends().size() <= MostEnds);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(40));
+    INFO(settings.instances << " instances, " << simulation.crashes().size() << " ends");
+    CHECK(simulation.crashes().size() <= MostEnds);
 }
 
 // Guards against single attempts, each at another instance, that add up nowhere.
@@ -202,9 +202,9 @@
     CrashSimulationSettings settings;
     settings.crashingKind = RequestKind::Unsafe;
     settings.seed = GENERATE(range(1, 5));
-    CrashSimulation world(settings);
-    world.run(seconds(40));
-    CHECK(world.ends().size() <= MostEnds);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(40));
+    CHECK(simulation.crashes().size() <= MostEnds);
 }
 
 // Guards against instances that all begin anew and send the request to three more engines.
@@ -212,15 +212,15 @@
 {
     CrashSimulationSettings settings;
     settings.seed = GENERATE(range(1, 5));
-    CrashSimulation world(settings);
-    world.run(seconds(7));
-    REQUIRE_FALSE(world.ends().empty());
-    world.restartInstances();
-    world.run(seconds(30));
-    world.restartInstances();
-    world.run(seconds(30));
-    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(world.ends().size() <= MostEnds);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(7));
+    REQUIRE_FALSE(simulation.crashes().empty());
+    simulation.restartInstances();
+    simulation.run(seconds(30));
+    simulation.restartInstances();
+    simulation.run(seconds(30));
+    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
+    CHECK(simulation.crashes().size() <= MostEnds);
 }
 
 // Guards against harmless requests that are shut out since engines end by themselves.
@@ -229,13 +229,13 @@
     CrashSimulationSettings settings;
     settings.crashingUntil = Duration {};
     settings.seed = GENERATE(range(1, 9));
-    CrashSimulation world(settings);
+    CrashSimulation simulation(settings);
     for (int second = 0; second < 40; ++second) {
-        world.run(seconds(1));
-        world.crashAnyEngine();
+        simulation.run(seconds(1));
+        simulation.crashAnyEngine();
     }
-    CHECK(world.harmless().quarantined == 0);
-    CHECK(world.harmless().refused == 0);
+    CHECK(simulation.harmless().quarantined == 0);
+    CHECK(simulation.harmless().refused == 0);
 }
 
 // Guards against a fleet that is busy when engines end, and takes all that wait for guilty.
@@ -248,141 +248,142 @@
     settings.restart = Duration(8'000'000);
     settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 9));
-    CrashSimulation world(settings);
-    world.run(seconds(40));
-    CHECK(world.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(world.ends().size() <= MostEnds);
-    CHECK(world.harmless().quarantined == 0);
+    CrashSimulation simulation(settings);
+    simulation.run(seconds(40));
+    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
+    CHECK(simulation.crashes().size() <= MostEnds);
+    CHECK(simulation.harmless().quarantined == 0);
 }
 
 // Guards against an endpoint that ends after the request was given up, and breaks nothing off.
 TEST_CASE("a request that is given up as its engine ends is found out")
 {
-    RelayHarness world(wholeEngines());
-    const FlightId flight = submitBad(world);
-    const std::string engine = world.sends(flight).back().endpoint;
-    world.relay.callerGone(flight, world.now, world.actions);
-    world.pass(milliseconds(250));
-    REQUIRE(world.asked() == std::vector<std::string> {engine});
-    world.relay.queryFailed(engine, world.now, world.actions, true);
-    CHECK(world.relay.quarantine().crashes("bad", world.now) == 1);
+    RelayHarness harness(wholeEngines());
+    const FlightId flight = submitBad(harness);
+    const std::string engine = harness.sends(flight).back().endpoint;
+    harness.relay.callerGone(flight, harness.now, harness.actions);
+    harness.advance(milliseconds(250));
+    REQUIRE(harness.queriedEngines() == std::vector<std::string> {engine});
+    harness.relay.queryFailed(engine, harness.now, harness.actions, true);
+    CHECK(harness.relay.quarantine().crashes("bad", harness.now) == 1);
 }
 
 // Guards against bytes that came before an engine's end and are read after it.
 TEST_CASE("what an engine sent before it ended is no sign that it lives")
 {
-    RelayHarness world({{"e1", {0, 8}}});
-    const FlightId other = world.submit(RequestKind::Stream);
-    REQUIRE(world.answer(other, 200));
-    const FlightId flight = submitBad(world);
-    world.fail(flight, AttemptFailure::Broken);
-    world.pass(milliseconds(1));
-    world.events(other, 1);
-    world.relay.reported("e1", {}, 1, world.now, world.actions);
-    world.relay.endpointAnswered("e1", world.now - milliseconds(50));
-    world.fail(other, AttemptFailure::InvalidAnswer);
-    world.relay.queryFailed("e1", world.now, world.actions, true);
-    CHECK(world.relay.quarantine().crashes("bad", world.now) == 1);
+    RelayHarness harness({{"e1", {0, 8}}});
+    const FlightId other = harness.submit(RequestKind::Stream);
+    REQUIRE(harness.answer(other, 200));
+    const FlightId flight = submitBad(harness);
+    harness.fail(flight, AttemptFailure::Broken);
+    harness.advance(milliseconds(1));
+    harness.forwardEvents(other, 1);
+    harness.relay.queryAnswered("e1", {}, 1, harness.now, harness.actions);
+    harness.relay.endpointAnswered("e1", harness.now - milliseconds(50));
+    harness.fail(other, AttemptFailure::InvalidAnswer);
+    harness.relay.queryFailed("e1", harness.now, harness.actions, true);
+    CHECK(harness.relay.quarantine().crashes("bad", harness.now) == 1);
 }
 
 // Guards against a lost link, where engines are silent, that is taken for their end.
 TEST_CASE("an engine that only does not answer ended under nothing")
 {
-    RelayHarness world(wholeEngines());
-    const FlightId flight = submitBad(world);
-    const std::string engine = world.sends(flight).back().endpoint;
-    world.fail(flight, AttemptFailure::Broken);
-    world.relay.queryFailed(engine, world.now, world.actions, false);
-    CHECK(world.relay.quarantine().crashes("bad", world.now) == 0);
+    RelayHarness harness(wholeEngines());
+    const FlightId flight = submitBad(harness);
+    const std::string engine = harness.sends(flight).back().endpoint;
+    harness.fail(flight, AttemptFailure::Broken);
+    harness.relay.queryFailed(engine, harness.now, harness.actions, false);
+    CHECK(harness.relay.quarantine().crashes("bad", harness.now) == 0);
 }
 
 // Guards against harmless streams that are suspected of all ends along their path.
 TEST_CASE("an engine in the middle that passed events of a stream on did not end under it")
 {
-    RelayHarness world({{"first", {0, 4}}, {"middle", {4, 8}}, {"other", {4, 8}}});
-    const FlightId flight = submitBad(world);
-    REQUIRE(world.sends(flight).back().path.size() == 2);
-    const std::string middle = world.sends(flight).back().path[1].endpoint;
-    REQUIRE(world.answer(flight, 200));
+    RelayHarness harness({{"first", {0, 4}}, {"middle", {4, 8}}, {"other", {4, 8}}});
+    const FlightId flight = submitBad(harness);
+    REQUIRE(harness.sends(flight).back().path.size() == 2);
+    const std::string middle = harness.sends(flight).back().path[1].endpoint;
+    REQUIRE(harness.answer(flight, 200));
     const bool passedOn = GENERATE(true, false);
     if (passedOn)
-        world.events(flight, 1);
-    world.pass(seconds(1));
-    world.relay.reported("first", {world.addressOf(middle)}, 1, world.now, world.actions);
-    world.pass(milliseconds(100));
-    world.relay.queryFailed(middle, world.now, world.actions, true);
-    CHECK(world.relay.quarantine().crashes("bad", world.now) == (passedOn ? 0 : 1));
+        harness.forwardEvents(flight, 1);
+    harness.advance(seconds(1));
+    harness.relay.queryAnswered("first", {harness.addressOf(middle)}, 1, harness.now,
+                                harness.actions);
+    harness.advance(milliseconds(100));
+    harness.relay.queryFailed(middle, harness.now, harness.actions, true);
+    CHECK(harness.relay.quarantine().crashes("bad", harness.now) == (passedOn ? 0 : 1));
 }
 
 // Guards against a planned stop that is held against the requests that it cuts.
 TEST_CASE("an engine that leaves ends under nothing")
 {
-    RelayHarness world(wholeEngines());
-    const FlightId flight = submitBad(world);
-    const std::string engine = world.sends(flight).back().endpoint;
-    world.drain(engine);
-    world.fail(flight, AttemptFailure::Broken);
-    world.remove(engine);
-    world.pass(seconds(1));
-    CHECK(world.relay.quarantine().crashes("bad", world.now) == 0);
+    RelayHarness harness(wholeEngines());
+    const FlightId flight = submitBad(harness);
+    const std::string engine = harness.sends(flight).back().endpoint;
+    harness.drain(engine);
+    harness.fail(flight, AttemptFailure::Broken);
+    harness.remove(engine);
+    harness.advance(seconds(1));
+    CHECK(harness.relay.quarantine().crashes("bad", harness.now) == 0);
 }
 
 // Guards against a caller who waits for nothing, and against a promise that is not true.
 TEST_CASE("a request that is held back is refused at once, as not run if it was not")
 {
-    RelayHarness world(wholeEngines());
-    learnEnds(world, 3);
-    const FlightId flight = submitBad(world, GENERATE(RequestKind::Stream, RequestKind::Unsafe));
-    CHECK(world.sends(flight).empty());
-    REQUIRE(world.end(flight));
-    CHECK(world.end(flight)->end == FlightOutcome::NotRun);
-    CHECK(world.end(flight)->retryAfter > seconds(60));
+    RelayHarness harness(wholeEngines());
+    learnEnds(harness, 3);
+    const FlightId flight = submitBad(harness, GENERATE(RequestKind::Stream, RequestKind::Unsafe));
+    CHECK(harness.sends(flight).empty());
+    REQUIRE(harness.finished(flight));
+    CHECK(harness.finished(flight)->outcome == FlightOutcome::NotExecuted);
+    CHECK(harness.finished(flight)->retryAfter > seconds(60));
 }
 
 // Guards against an engine that is lost to a request which waits there to be run.
 TEST_CASE("a request that waits at an engine is taken back when it becomes known")
 {
-    RelayHarness world(wholeEngines());
-    const FlightId flight = submitBad(world);
-    REQUIRE(world.sends(flight).size() == 1);
-    learnEnds(world, 3);
-    CHECK(world.abandoned(flight) == 1);
-    REQUIRE(world.end(flight));
-    CHECK(world.end(flight)->end == FlightOutcome::Failed);
+    RelayHarness harness(wholeEngines());
+    const FlightId flight = submitBad(harness);
+    REQUIRE(harness.sends(flight).size() == 1);
+    learnEnds(harness, 3);
+    CHECK(harness.abandoned(flight) == 1);
+    REQUIRE(harness.finished(flight));
+    CHECK(harness.finished(flight)->outcome == FlightOutcome::Failed);
 }
 
 // Guards against callers who lose a stream that runs, since it stood beside others' ends.
 TEST_CASE("a stream that runs well is neither suspected nor taken back")
 {
-    RelayHarness world(wholeEngines());
-    const FlightId flight = submitBad(world);
-    REQUIRE(world.answer(flight, 200));
+    RelayHarness harness(wholeEngines());
+    const FlightId flight = submitBad(harness);
+    REQUIRE(harness.answer(flight, 200));
     for (std::uint64_t event = 1; event <= 12; ++event) {
-        world.events(flight, event);
-        world.pass(milliseconds(100));
+        harness.forwardEvents(flight, event);
+        harness.advance(milliseconds(100));
     }
-    learnEnds(world, 3);
-    CHECK_FALSE(world.end(flight));
-    world.fail(flight, AttemptFailure::InvalidAnswer);
-    CHECK(world.sends(flight).size() == 2);
+    learnEnds(harness, 3);
+    CHECK_FALSE(harness.finished(flight));
+    harness.fail(flight, AttemptFailure::InvalidAnswer);
+    CHECK(harness.sends(flight).size() == 2);
 }
 
 // Guards against two copies at one instance that each end an engine where one shows enough.
 TEST_CASE("a request under which two engines ended is tried once at a time")
 {
-    RelayHarness world(wholeEngines());
-    learnEnds(world, 2);
-    const FlightId first = submitBad(world);
-    const FlightId second = submitBad(world);
-    CHECK(world.sends(first).empty());
-    world.answerTrial(first, {.granted = true, .lasts = seconds(5)});
-    world.answerTrial(second, {.wait = seconds(1)});
-    CHECK(world.sends(first).size() == 1);
-    CHECK(world.sends(second).empty());
-    REQUIRE(world.end(second));
-    CHECK(world.end(second)->end == FlightOutcome::NotRun);
-    world.answer(first, 503, false, true);
-    CHECK(world.sends(first).size() == 1);
-    REQUIRE(world.end(first));
-    CHECK(world.end(first)->end == FlightOutcome::NotRun);
+    RelayHarness harness(wholeEngines());
+    learnEnds(harness, 2);
+    const FlightId first = submitBad(harness);
+    const FlightId second = submitBad(harness);
+    CHECK(harness.sends(first).empty());
+    harness.answerTrial(first, {.granted = true, .validFor = seconds(5)});
+    harness.answerTrial(second, {.wait = seconds(1)});
+    CHECK(harness.sends(first).size() == 1);
+    CHECK(harness.sends(second).empty());
+    REQUIRE(harness.finished(second));
+    CHECK(harness.finished(second)->outcome == FlightOutcome::NotExecuted);
+    harness.answer(first, 503, false, true);
+    CHECK(harness.sends(first).size() == 1);
+    REQUIRE(harness.finished(first));
+    CHECK(harness.finished(first)->outcome == FlightOutcome::NotExecuted);
 }
--- a/src/libbalsamloft/eventsplitter.cpp
+++ b/src/libbalsamloft/eventsplitter.cpp
@@ -37,10 +37,10 @@
 } // namespace
 
 std::size_t EventSplitter::add(std::string_view bytes, std::optional<std::uint64_t> after,
-                               std::string &whole)
+                               std::string &complete)
 {
-    m_rest.append(bytes);
-    std::string_view rest = m_rest;
+    m_buffer.append(bytes);
+    std::string_view rest = m_buffer;
     std::size_t count = 0;
     for (std::size_t length = eventLength(rest); length > 0; length = eventLength(rest)) {
         const std::string_view event = rest.substr(0, length);
@@ -50,10 +50,10 @@
             continue;
         if (id)
             m_lastId = id;
-        whole.append(event);
+        complete.append(event);
         count += 1;
     }
-    m_rest.erase(0, m_rest.size() - rest.size());
+    m_buffer.erase(0, m_buffer.size() - rest.size());
     return count;
 }
 
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -53,7 +53,7 @@
         quarantine.endpointAnswered(endpoint, asked);
     }
     CHECK(quarantine.crashes("good", Start) == 0);
-    CHECK(quarantine.news(Start + seconds(2)).empty());
+    CHECK(quarantine.takeUpdate(Start + seconds(2)).empty());
 }
 
 // Guards against an endpoint that ends in the moment in which the request is given up.
@@ -128,7 +128,7 @@
         endUnder(quarantine, endpoint, {"beside"});
     CHECK(quarantine.verdict("beside", Start) == Verdict::Deferred);
     CHECK(quarantine.blockedFor("beside", Start) == seconds(2));
-    quarantine.learn({{"bad", "e1", Start}, {"bad", "e2", Start}, {"bad", "e3", Start}});
+    quarantine.setShared({{"bad", "e1", Start}, {"bad", "e2", Start}, {"bad", "e3", Start}});
     CHECK(quarantine.verdict("beside", Start + seconds(1)) == Verdict::Deferred);
     CHECK(quarantine.verdict("beside", Start + seconds(2)) == Verdict::TrialOnly);
     CHECK(quarantine.verdict("beside", Start + seconds(10)) == Verdict::TrialOnly);
@@ -162,10 +162,10 @@
     Quarantine quarantine;
     endUnder(quarantine, "e1", {"good"});
     endUnder(quarantine, "e2", {"good"});
-    REQUIRE(quarantine.news(Start).added.size() == 2);
+    REQUIRE(quarantine.takeUpdate(Start).added.size() == 2);
     quarantine.requestSucceeded("good", Start);
     CHECK(quarantine.crashes("good", Start) == 0);
-    CHECK(quarantine.news(Start).removed.size() == 2);
+    CHECK(quarantine.takeUpdate(Start).removed.size() == 2);
 }
 
 // Guards against many callers' same request that is shut out when three endpoints end at once.
@@ -196,10 +196,10 @@
 {
     Quarantine quarantine;
     quarantine.requestSucceeded("good", Start);
-    quarantine.learn({{"good", "e1", Start - seconds(1)}, {"good", "e2", Start + seconds(1)}});
+    quarantine.setShared({{"good", "e1", Start - seconds(1)}, {"good", "e2", Start + seconds(1)}});
     CHECK(quarantine.crashes("good", Start + seconds(2)) == 1);
-    const CrashUpdate news = quarantine.news(Start + seconds(2));
-    CHECK(news.removed == std::vector<CrashRecord> {{"good", "e1", Start - seconds(1)}});
+    const CrashUpdate update = quarantine.takeUpdate(Start + seconds(2));
+    CHECK(update.removed == std::vector<CrashRecord> {{"good", "e1", Start - seconds(1)}});
 }
 
 // Guards against ends that three instances saw, one each, and none adds up.
@@ -209,20 +209,20 @@
     for (const char *endpoint : {"e1", "e2", "e3"}) {
         Quarantine witness;
         endUnder(witness, endpoint, {"bad"});
-        const CrashUpdate news = witness.news(Start + seconds(1));
-        told.insert(told.end(), news.added.begin(), news.added.end());
+        const CrashUpdate update = witness.takeUpdate(Start + seconds(1));
+        told.insert(told.end(), update.added.begin(), update.added.end());
     }
     Quarantine late;
-    late.learn(told);
+    late.setShared(told);
     CHECK(held(late, "bad"));
 }
 
 TEST_CASE("what others take back is forgotten, what was not told yet is not")
 {
     Quarantine quarantine;
-    quarantine.learn({{"a", "e1", Start}, {"a", "e2", Start}});
+    quarantine.setShared({{"a", "e1", Start}, {"a", "e2", Start}});
     endUnder(quarantine, "e3", {"a"});
-    quarantine.learn({{"a", "e1", Start}});
+    quarantine.setShared({{"a", "e1", Start}});
     CHECK(quarantine.crashes("a", Start) == 2);
 }
 
@@ -230,14 +230,14 @@
 {
     Quarantine quarantine;
     quarantine.requestSucceeded("good", Start);
-    CHECK(quarantine.news(Start).empty());
+    CHECK(quarantine.takeUpdate(Start).empty());
     endUnder(quarantine, "e1", {"beside", "bad"});
-    CHECK(quarantine.news(Start + milliseconds(100)).empty());
+    CHECK(quarantine.takeUpdate(Start + milliseconds(100)).empty());
     quarantine.requestSucceeded("beside", Start);
-    const CrashUpdate news = quarantine.news(Start + seconds(1));
-    CHECK(news.added == std::vector<CrashRecord> {{"bad", "e1", Start}});
-    CHECK(news.removed.empty());
-    CHECK(quarantine.news(Start + seconds(2)).empty());
+    const CrashUpdate update = quarantine.takeUpdate(Start + seconds(1));
+    CHECK(update.added == std::vector<CrashRecord> {{"bad", "e1", Start}});
+    CHECK(update.removed.empty());
+    CHECK(quarantine.takeUpdate(Start + seconds(2)).empty());
 }
 
 TEST_CASE("a request is let through again after a while, and old records go with the next write")
@@ -245,15 +245,15 @@
     Quarantine quarantine;
     for (const char *endpoint : {"e1", "e2", "e3"})
         endUnder(quarantine, endpoint, {"bad"});
-    REQUIRE(quarantine.news(Start + seconds(1)).added.size() == 3);
+    REQUIRE(quarantine.takeUpdate(Start + seconds(1)).added.size() == 3);
     CHECK(quarantine.blockedFor("bad", Start + minutes(4)) == minutes(6));
     const Time later = Start + minutes(11);
     CHECK_FALSE(held(quarantine, "bad", later));
-    CHECK(quarantine.news(later).empty());
+    CHECK(quarantine.takeUpdate(later).empty());
     endUnder(quarantine, "e4", {"other"}, later);
-    const CrashUpdate news = quarantine.news(later + seconds(1));
-    CHECK(news.added.size() == 1);
-    CHECK(news.removed.size() == 3);
+    const CrashUpdate update = quarantine.takeUpdate(later + seconds(1));
+    CHECK(update.added.size() == 1);
+    CHECK(update.removed.size() == 3);
 }
 
 // Guards against a caller that fills the memory with ever new requests beside ends.
@@ -264,9 +264,10 @@
     endUnder(quarantine, "e2", {"bad"});
     for (int i = 0; i < 20'000; ++i)
         endUnder(quarantine, "f" + std::to_string(i % 50), {"flood " + std::to_string(i)});
-    CHECK(quarantine.suspected() <= QuarantineSettings {}.maxDigests);
+    CHECK(quarantine.suspectCount() <= QuarantineSettings {}.maxDigests);
     CHECK(quarantine.crashes("bad", Start) == 2);
-    CHECK(quarantine.news(Start + seconds(1)).added.size() <= QuarantineSettings {}.maxPerUpdate);
+    CHECK(quarantine.takeUpdate(Start + seconds(1)).added.size()
+          <= QuarantineSettings {}.maxPerUpdate);
 }
 
 // Guards against a memory full of others' records, in which a new request is never suspected.
@@ -276,12 +277,12 @@
     std::vector<CrashRecord> told;
     for (std::size_t i = 0; i < QuarantineSettings {}.maxDigests; ++i)
         told.push_back({"told " + std::to_string(i), "f" + std::to_string(i % 50), Start});
-    quarantine.learn(told);
+    quarantine.setShared(told);
     for (const char *endpoint : {"e1", "e2", "e3"})
         endUnder(quarantine, endpoint, {"bad"});
     CHECK(held(quarantine, "bad"));
-    CHECK(quarantine.suspected() <= QuarantineSettings {}.maxDigests);
-    CHECK(quarantine.news(Start + seconds(1)).removed.size() == 1);
+    CHECK(quarantine.suspectCount() <= QuarantineSettings {}.maxDigests);
+    CHECK(quarantine.takeUpdate(Start + seconds(1)).removed.size() == 1);
 }
 
 namespace {
@@ -427,15 +428,15 @@
     void share()
     {
         for (Quarantine &each : m_instances) {
-            const CrashUpdate news = each.news(m_now);
-            m_told.insert(m_told.end(), news.added.begin(), news.added.end());
-            for (const CrashRecord &gone : news.removed)
+            const CrashUpdate update = each.takeUpdate(m_now);
+            m_told.insert(m_told.end(), update.added.begin(), update.added.end());
+            for (const CrashRecord &gone : update.removed)
                 std::erase_if(m_told, [&](const CrashRecord &told) {
                     return told.digest == gone.digest && told.endpoint == gone.endpoint;
                 });
         }
         for (Quarantine &each : m_instances)
-            each.learn(m_told);
+            each.setShared(m_told);
     }
 
     std::mt19937_64 m_random;
--- a/src/libbalsamloft/ratelimits_test.cpp
+++ b/src/libbalsamloft/ratelimits_test.cpp
@@ -155,7 +155,7 @@
     for (std::size_t i = 0; i < m_instances.size(); ++i)
         if (m_listed[i] || i == instance)
             listed.push_back(m_instances[i]);
-    m_worlds[instance]->listInstances(listed, m_instances[instance].name, m_clocks[instance]);
+    m_worlds[instance]->setInstances(listed, m_instances[instance].name, m_clocks[instance]);
 }
 
 void LimitWorld::name(std::optional<double> limit)
@@ -200,7 +200,7 @@
     for (int left = arrivals(m_random); left > 0; --left)
         submitOne();
     for (std::size_t i = 0; i < m_worlds.size(); ++i) {
-        m_worlds[i]->pass(Step, Step);
+        m_worlds[i]->advance(Step, Step);
         collect(i);
     }
 }
@@ -424,11 +424,11 @@
 TEST_CASE("an engine that names a limit still runs later parts of paths")
 {
     RelayHarness world({{"first", {0, 4}}, {"limited", {0, 8}}, {"last", {4, 8}, "far"}});
-    world.listInstances({{"n1", "near", "10.0.0.1:1"}, {"n2", "near", "10.0.0.1:2"}}, "n1");
+    world.setInstances({{"n1", "near", "10.0.0.1:1"}, {"n2", "near", "10.0.0.1:2"}}, "n1");
     std::size_t through = 0;
     for (int request = 0; request < 40; ++request) {
         const FlightId flight = world.submit(RequestKind::Stream);
-        world.pass(milliseconds(20));
+        world.advance(milliseconds(20));
         const SendRequest send = world.sends(flight).front();
         AnswerHead head;
         head.status = 200;
@@ -436,7 +436,7 @@
         if (send.endpoint == "limited")
             head.rateLimit = 0.1;
         world.relay.answered(flight, send.attempt, head, world.now, world.actions);
-        world.endStream(flight);
+        world.completeStream(flight);
         through += send.path.size() > 1 && send.path.back().endpoint == "limited" ? 1 : 0;
     }
     CHECK(through > 20);
@@ -458,7 +458,7 @@
 TEST_CASE("a choice counts as limited where an endpoint of its own service was left out")
 {
     RelayHarness world({{"engine", {0, 8}}, {"call", {}}});
-    world.listInstances({{"n1", "near", "10.0.0.1:1"}, {"n2", "near", "10.0.0.1:2"}}, "n1");
+    world.setInstances({{"n1", "near", "10.0.0.1:1"}, {"n2", "near", "10.0.0.1:2"}}, "n1");
     const FlightId call = world.submit(RequestKind::Unsafe);
     AnswerHead head;
     head.status = 200;
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -11,13 +11,13 @@
 constexpr int FirstServerError = 500;
 
 /// A refusal that took this long was no lack of room: the engine at fault is dead.
-constexpr Duration StallRefusal {1'000'000};
+constexpr Duration StalledRejection {1'000'000};
 
 /// Share of the slack that an earlier process of this instance may just have spent.
-constexpr double SpentBefore = 0.8;
+constexpr double PreviousSlackUse = 0.8;
 
 /// Instances that share the slack, until their number is known.
-constexpr std::size_t UnknownInstances = 8;
+constexpr std::size_t AssumedInstances = 8;
 
 } // namespace
 
@@ -43,7 +43,7 @@
     settings.window = m_settings.retryWindow;
     settings.perRequest = m_settings.retryRatio;
     settings.slack = slackShare();
-    settings.spentBefore = settings.slack * SpentBefore;
+    settings.spentBefore = settings.slack * PreviousSlackUse;
     return m_budgets.try_emplace(name, settings).first->second;
 }
 
@@ -52,7 +52,7 @@
 /// is divided by the most instances that were known in the last window.
 double Relay::slackShare() const
 {
-    std::size_t most = m_instanceCounts.empty() ? UnknownInstances : 1;
+    std::size_t most = m_instanceCounts.empty() ? AssumedInstances : 1;
     for (const auto &[at, count] : m_instanceCounts)
         most = std::max(most, count);
     return m_settings.retrySlack / static_cast<double>(most);
@@ -60,8 +60,8 @@
 
 void Relay::setInstances(std::size_t inDomain, std::size_t all, Time now)
 {
-    m_book.setSharingInstances(static_cast<double>(inDomain));
-    m_book.setInstances(static_cast<double>(all));
+    m_engines.setSharingInstances(static_cast<double>(inDomain));
+    m_engines.setInstances(static_cast<double>(all));
     // The last count before the window still held in its beginning.
     while (m_instanceCounts.size() > 1
            && now - m_instanceCounts[1].first > m_settings.retryWindow * 6 / 5)
@@ -71,10 +71,10 @@
         budget.setSlack(slackShare());
 }
 
-void Relay::shareLimits(std::span<const PeerInstance> all, const std::string &self, Duration clock,
-                        Time now)
+void Relay::shareLimits(std::span<const PeerInstance> all, const std::string &self,
+                        Duration clockOffset, Time now)
 {
-    m_limits.setClockOffset(clock);
+    m_limits.setClockOffset(clockOffset);
     m_limits.setInstances(all, self, m_settings.domain, now);
 }
 
@@ -120,22 +120,22 @@
     return id;
 }
 
-double Relay::ownNeed(const Flight &flight, const PathPart &part) const
+double Relay::tokenLayers(const Flight &flight, const PathPart &part) const
 {
     return static_cast<double>(flight.request.promptTokens + flight.request.answerTokens)
            * part.layers.length();
 }
 
 /// Endpoints of the flight's service to which nothing may be sent now for their rate limits.
-std::set<std::string> Relay::beyondLimit(const Flight &flight, Time now)
+std::set<std::string> Relay::rateLimitedEndpoints(const Flight &flight, Time now)
 {
-    std::set<std::string> closed = m_limits.closed(now);
-    std::erase_if(closed, [&](const std::string &id) {
+    std::set<std::string> rateLimited = m_limits.closed(now);
+    std::erase_if(rateLimited, [&](const std::string &id) {
         const FleetEndpoint *endpoint = m_fleet->find(id);
         return !endpoint || endpoint->service != service(flight).name;
     });
-    m_counts.rateLimitSkips += closed.empty() ? 0 : 1;
-    return closed;
+    m_counts.rateLimitSkips += rateLimited.empty() ? 0 : 1;
+    return rateLimited;
 }
 
 /// A path, without the engines \a without if there is one.
@@ -150,21 +150,21 @@
     query.first = flight.trial.state == Trial::State::Granted && flight.trial.first
                       ? &*flight.trial.first
                       : nullptr;
-    query.minCostNoise = flight.cutEarly ? m_settings.rerouteSpread : 0;
-    const std::set<std::string> closed = beyondLimit(flight, now);
-    query.excludedAsFirst = &closed;
-    auto path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
+    query.minCostNoise = flight.failedEarly ? m_settings.rerouteSpread : 0;
+    const std::set<std::string> rateLimited = rateLimitedEndpoints(flight, now);
+    query.excludedAsFirst = &rateLimited;
+    auto path = m_chooser.choose(*m_fleet, service(flight), m_engines, query, now, m_random);
     if (!path && !without.empty()) {
         // Rather an engine that failed it once than none at all.
         query.without = nullptr;
-        path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
+        path = m_chooser.choose(*m_fleet, service(flight), m_engines, query, now, m_random);
     }
     return path;
 }
 
 bool Relay::choosePath(Flight &flight, Time now, SendRequest &send)
 {
-    auto path = findPath(flight, notToUse(flight), now);
+    auto path = findPath(flight, excludedEndpoints(flight), now);
     if (!path) {
         flight.lastReason = "no path over all layers";
         return false;
@@ -177,29 +177,29 @@
     send.name = m_fleet->find(send.endpoint)->name;
     send.address = path->parts.front().address;
     send.path = std::move(path->parts);
-    expect(flight, *path);
+    setExpectedTimes(flight, *path);
     return true;
 }
 
-void Relay::expect(Flight &flight, const EnginePath &path)
+void Relay::setExpectedTimes(Flight &flight, const EnginePath &path)
 {
     flight.domain = path.domain;
-    flight.expectedGap = Duration(static_cast<std::int64_t>(path.eventIntervalMs * 1000));
-    flight.expectedFirst = Duration(static_cast<std::int64_t>(path.firstEventMs * 1000));
+    flight.expectedEventInterval = Duration(static_cast<std::int64_t>(path.eventIntervalMs * 1000));
+    flight.expectedFirstEvent = Duration(static_cast<std::int64_t>(path.firstEventMs * 1000));
 }
 
 double Relay::endpointCost(const FleetEndpoint &endpoint, const std::set<std::string> &avoid,
                            Time now)
 {
-    const EngineEstimate *belief = m_book.find(endpoint.id);
+    const EngineEstimate *belief = m_engines.find(endpoint.id);
     std::uniform_real_distribution<double> noise(0, 0.1);
-    double cost = noise(m_random) + 4 * m_book.failureShare(endpoint.id, now);
+    double cost = noise(m_random) + 4 * m_engines.failureShare(endpoint.id, now);
     if (belief)
         cost += static_cast<double>(belief->streams) / std::max(1U, endpoint.slots)
-                * m_book.scale(endpoint.domain);
+                * m_engines.scale(endpoint.domain);
     if (endpoint.domain != m_settings.domain)
         cost += 0.4;
-    if (!m_book.usable(endpoint.id, now))
+    if (!m_engines.usable(endpoint.id, now))
         cost += 10;
     if (avoid.contains(endpoint.id))
         cost += 20;
@@ -207,10 +207,10 @@
 }
 
 /// Endpoints that failed the flight, or where something else is tried.
-std::set<std::string> Relay::notToUse(const Flight &flight)
+std::set<std::string> Relay::excludedEndpoints(const Flight &flight)
 {
     std::set<std::string> all = flight.avoid;
-    all.insert(flight.trial.taken.begin(), flight.trial.taken.end());
+    all.insert(flight.trial.busyEndpoints.begin(), flight.trial.busyEndpoints.end());
     return all;
 }
 
@@ -224,12 +224,12 @@
 {
     const FleetEndpoint *best = nullptr;
     double bestCost = 0;
-    const std::set<std::string> avoid = notToUse(flight);
-    const std::set<std::string> closed = beyondLimit(flight, now);
+    const std::set<std::string> avoid = excludedEndpoints(flight);
+    const std::set<std::string> rateLimited = rateLimitedEndpoints(flight, now);
     const bool bound = flight.trial.state == Trial::State::Granted;
     for (const FleetEndpoint &each : m_fleet->endpoints) {
         if (each.service != service(flight).name || each.draining
-            || (bound && each.id != flight.trial.endpoint) || closed.contains(each.id))
+            || (bound && each.id != flight.trial.endpoint) || rateLimited.contains(each.id))
             continue;
         const double cost = endpointCost(each, avoid, now);
         if (!best || cost < bestCost) {
@@ -238,9 +238,9 @@
         }
     }
     if (!best || avoid.contains(best->id)) {
-        flight.lastReason = best             ? "all endpoints failed it"
-                            : closed.empty() ? "no endpoint"
-                                             : "no endpoint within its rate limit";
+        flight.lastReason = best                  ? "all endpoints failed it"
+                            : rateLimited.empty() ? "no endpoint"
+                                                  : "no endpoint within its rate limit";
         return false;
     }
     send.endpoint = best->id;
@@ -250,7 +250,7 @@
     return true;
 }
 
-void Relay::sent(Flight &flight, const SendRequest &send, Time now)
+void Relay::recordSent(Flight &flight, const SendRequest &send, Time now)
 {
     m_limits.sent(send.endpoint, now);
     flight.state = State::Sent;
@@ -259,15 +259,15 @@
     flight.path = send.path;
     flight.sentAt = now;
     flight.progressAt = now;
-    flight.pathAskedAt.reset();
+    flight.pathChangeSentAt.reset();
     flight.pathChanges = 0;
     flight.firstEventAt.reset();
-    occupy(flight);
-    crossDomains(flight, now);
+    addLoad(flight);
+    recordTransfers(flight, now);
 }
 
 /// What the request's prompt and answer take of the pipes between domains.
-void Relay::crossDomains(const Flight &flight, Time now)
+void Relay::recordTransfers(const Flight &flight, Time now)
 {
     const auto &model = service(flight).model;
     if (!model)
@@ -278,32 +278,33 @@
     for (const PathPart &part : flight.path) {
         const FleetEndpoint *to = m_fleet->find(part.endpoint);
         if (from && to && from->domain != to->domain)
-            m_book.recordTransfer(from->domain, to->domain, pipeMs, now);
+            m_engines.recordTransfer(from->domain, to->domain, pipeMs, now);
         from = to;
     }
 }
 
-void Relay::occupy(const Flight &flight)
+void Relay::addLoad(const Flight &flight)
 {
     if (flight.path.empty())
-        m_book.started(flight.endpoint, 0, true);
+        m_engines.started(flight.endpoint, 0, true);
     for (const PathPart &part : flight.path)
-        m_book.started(part.endpoint, ownNeed(flight, part), part.endpoint == flight.endpoint);
+        m_engines.started(part.endpoint, tokenLayers(flight, part),
+                          part.endpoint == flight.endpoint);
 }
 
-void Relay::vacate(const Flight &flight)
+void Relay::removeLoad(const Flight &flight)
 {
     if (flight.path.empty())
-        m_book.ended(flight.endpoint, 0, true);
+        m_engines.ended(flight.endpoint, 0, true);
     for (const PathPart &part : flight.path)
-        m_book.ended(part.endpoint, ownNeed(flight, part), part.endpoint == flight.endpoint);
+        m_engines.ended(part.endpoint, tokenLayers(flight, part), part.endpoint == flight.endpoint);
 }
 
-void Relay::release(Flight &flight)
+void Relay::endAttempt(Flight &flight)
 {
     if (flight.state == State::Waiting)
         return;
-    vacate(flight);
+    removeLoad(flight);
     flight.path.clear();
     flight.state = State::Waiting;
 }
@@ -311,25 +312,25 @@
 void Relay::dispatch(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (now >= flight.deadline)
-        return end(id, endOf(flight, FlightOutcome::TimedOut), "no time left", actions);
-    if (holdBack(id, flight, now, actions))
+        return finish(id, outcomeOf(flight, FlightOutcome::TimedOut), "no time left", actions);
+    if (blockIfSuspected(id, flight, now, actions))
         return;
     // Asked at each tick while it waits: no path is looked for that cannot be paid.
-    if (flight.repeatOwed && !budget(flight).canWithdraw(now))
+    if (flight.owesRetry && !budget(flight).canWithdraw(now))
         return;
     SendRequest send;
     if (!choose(flight, now, send))
-        return endTrial(flight, TrialOutcome::NotSent, actions);
-    if (flight.repeatOwed && !payRepeat(flight, now))
+        return finishTrial(flight, TrialOutcome::NotSent, actions);
+    if (flight.owesRetry && !withdrawRetry(flight, now))
         return;
-    flight.repeatOwed = false;
+    flight.owesRetry = false;
     send.flight = id;
     send.attempt = ++flight.attempt;
     send.timeLeft = flight.deadline - now;
     send.afterEvent = flight.lastEvent;
     send.freshConnection = !flight.request.route->idempotent();
     send.reason = flight.sends == 0 ? "first attempt" : flight.lastReason;
-    sent(flight, send, now);
+    recordSent(flight, send, now);
     if (flight.trial.state == Trial::State::Granted)
         flight.trial.state = Trial::State::Sent;
     actions.push_back(std::move(send));
@@ -342,66 +343,66 @@
         return false;
     // Endpoints that are gone do not count: what they ran is lost in any case.
     const auto alive = [&](std::string_view each) { return m_fleet->find(each) != nullptr; };
-    auto ran =
-        static_cast<std::uint32_t>(std::count_if(flight.ranAt.begin(), flight.ranAt.end(), alive));
-    const bool counted =
-        std::find(flight.ranAt.begin(), flight.ranAt.end(), alsoAt) != flight.ranAt.end();
+    auto ran = static_cast<std::uint32_t>(
+        std::count_if(flight.mayHaveRunAt.begin(), flight.mayHaveRunAt.end(), alive));
+    const bool counted = std::find(flight.mayHaveRunAt.begin(), flight.mayHaveRunAt.end(), alsoAt)
+                         != flight.mayHaveRunAt.end();
     if (!alsoAt.empty() && !counted && alive(alsoAt))
         ran += 1;
     return ran < flight.request.route->maxAttempts;
 }
 
-FlightOutcome Relay::endOf(const Flight &flight, FlightOutcome ran)
+FlightOutcome Relay::outcomeOf(const Flight &flight, FlightOutcome ifMayHaveRun)
 {
-    if (flight.passing)
+    if (flight.eventsForwarded)
         return FlightOutcome::Truncated;
-    return flight.ranAt.empty() ? FlightOutcome::NotRun : ran;
+    return flight.mayHaveRunAt.empty() ? FlightOutcome::NotExecuted : ifMayHaveRun;
 }
 
 /// A stream that has begun is bounded by the repeats and its caller's patience alone:
 /// engines that reject it did not run it, and nothing else is left to its caller.
-bool Relay::sentOftenEnough(const Flight &flight) const
+bool Relay::sendLimitReached(const Flight &flight) const
 {
-    return !flight.passing
+    return !flight.eventsForwarded
            && flight.sends >= flight.request.route->maxAttempts + m_settings.extraSends;
 }
 
 /// Engines without room reject one new request after another, and these would spend
 /// all repeats before a stream needs one. A new request that is refused can come
 /// back; a stream that has begun is lost. So new ones leave some for those.
-bool Relay::payRepeat(const Flight &flight, Time now)
+bool Relay::withdrawRetry(const Flight &flight, Time now)
 {
-    const bool begun = flight.passing || !flight.ranAt.empty();
+    const bool begun = flight.eventsForwarded || !flight.mayHaveRunAt.empty();
     const bool yields = service(flight).model && !begun;
     return budget(flight).withdraw(now, yields ? m_settings.streamReserve : 0);
 }
 
-void Relay::again(FlightId id, Flight &flight, bool ran, const std::string &culprit,
+void Relay::retry(FlightId id, Flight &flight, bool mayHaveRun, const std::string &faultyEndpoint,
                   std::string reason, Time now, RelayActions &actions)
 {
-    flight.avoid.insert(culprit);
-    if (ran
-        && std::find(flight.ranAt.begin(), flight.ranAt.end(), flight.endpoint)
-               == flight.ranAt.end())
-        flight.ranAt.push_back(flight.endpoint);
-    release(flight);
+    flight.avoid.insert(faultyEndpoint);
+    if (mayHaveRun
+        && std::find(flight.mayHaveRunAt.begin(), flight.mayHaveRunAt.end(), flight.endpoint)
+               == flight.mayHaveRunAt.end())
+        flight.mayHaveRunAt.push_back(flight.endpoint);
+    endAttempt(flight);
     flight.waitingSince = now;
     flight.lastReason = reason;
-    const FlightOutcome how = endOf(flight, FlightOutcome::Failed);
-    if (!flight.ranAt.empty() && !mayRunAgain(flight))
-        return end(id, how, std::move(reason), actions);
-    if (sentOftenEnough(flight))
-        return end(id, how, reason + "; sent often enough", actions);
-    if (holdBack(id, flight, now, actions))
+    const FlightOutcome outcome = outcomeOf(flight, FlightOutcome::Failed);
+    if (!flight.mayHaveRunAt.empty() && !mayRunAgain(flight))
+        return finish(id, outcome, std::move(reason), actions);
+    if (sendLimitReached(flight))
+        return finish(id, outcome, reason + "; sent often enough", actions);
+    if (blockIfSuspected(id, flight, now, actions))
         return;
-    if (!payRepeat(flight, now)) {
+    if (!withdrawRetry(flight, now)) {
         m_counts.budgetExhausted += 1;
         reason += "; no budget to send it again";
-        if (!flight.passing)
-            return end(id, how, std::move(reason), actions);
+        if (!flight.eventsForwarded)
+            return finish(id, outcome, std::move(reason), actions);
         // Its caller waits a while for the next event anyway, and repeats come back
         // as the window moves on; broken off now, the answer would be lost for sure.
-        flight.repeatOwed = true;
+        flight.owesRetry = true;
         flight.lastReason = std::move(reason);
         return;
     }
@@ -409,26 +410,26 @@
     dispatch(id, flight, now, actions);
 }
 
-void Relay::end(FlightId id, FlightOutcome how, std::string reason, RelayActions &actions,
-                std::optional<Duration> retryAfter)
+void Relay::finish(FlightId id, FlightOutcome outcome, std::string reason, RelayActions &actions,
+                   std::optional<Duration> retryAfter)
 {
     const auto it = m_flights.find(id);
     if (it == m_flights.end())
         return;
-    release(it->second);
+    endAttempt(it->second);
     Duration wait {};
-    if (how == FlightOutcome::NotRun) {
+    if (outcome == FlightOutcome::NotExecuted) {
         // Spread, so that those refused together do not come back together.
         std::uniform_real_distribution<double> spread(0.6, 1.4);
         wait = retryAfter.value_or(
             Duration(static_cast<std::int64_t>(m_settings.retryAfter.count() * spread(m_random))));
     }
-    std::uint64_t RelayCounts::*const counters[] = {&RelayCounts::notRun, &RelayCounts::failed,
+    std::uint64_t RelayCounts::*const counters[] = {&RelayCounts::notExecuted, &RelayCounts::failed,
                                                     &RelayCounts::timedOut,
                                                     &RelayCounts::truncated};
-    m_counts.*counters[static_cast<std::size_t>(how)] += 1;
+    m_counts.*counters[static_cast<std::size_t>(outcome)] += 1;
     m_flights.erase(it);
-    actions.push_back(FinishFlight {id, how, wait, std::move(reason)});
+    actions.push_back(FinishFlight {id, outcome, wait, std::move(reason)});
 }
 
 void Relay::attemptFailed(FlightId id, std::uint32_t attempt, AttemptFailure failure, Time now,
@@ -437,50 +438,51 @@
     Flight *flight = current(id, attempt);
     if (!flight)
         return;
-    m_book.finished(flight->endpoint, true, now);
+    m_engines.finished(flight->endpoint, true, now);
     if (failure != AttemptFailure::NotSent)
-        noteBrokenOff(*flight, now, actions);
+        recordBroken(*flight, now, actions);
     switch (failure) {
     case AttemptFailure::NotSent:
-        endTrial(*flight, TrialOutcome::NotSent, actions);
-        m_book.suspect(flight->endpoint, now);
-        return again(id, *flight, false, flight->endpoint, "not reached: " + flight->endpoint, now,
+        finishTrial(*flight, TrialOutcome::NotSent, actions);
+        m_engines.suspect(flight->endpoint, now);
+        return retry(id, *flight, false, flight->endpoint, "not reached: " + flight->endpoint, now,
                      actions);
     case AttemptFailure::Broken:
-        return again(id, *flight, true, flight->endpoint, "broken off by " + flight->endpoint, now,
+        return retry(id, *flight, true, flight->endpoint, "broken off by " + flight->endpoint, now,
                      actions);
     case AttemptFailure::InvalidAnswer:
-        return again(id, *flight, true, flight->endpoint, "bad answer of " + flight->endpoint, now,
+        return retry(id, *flight, true, flight->endpoint, "bad answer of " + flight->endpoint, now,
                      actions);
     }
 }
 
-void Relay::rejected(FlightId id, Flight &flight, const AnswerHead &head, Time now,
-                     RelayActions &actions)
+void Relay::handleRejection(FlightId id, Flight &flight, const AnswerHead &head, Time now,
+                            RelayActions &actions)
 {
-    const FleetEndpoint *atFault = head.atAddress.empty() ? m_fleet->find(flight.endpoint)
-                                                          : m_fleet->atAddress(head.atAddress);
-    const std::string culprit = atFault ? atFault->id : flight.endpoint;
-    const bool dead = now - flight.sentAt >= StallRefusal;
-    if (dead)
-        noteStalled(flight, culprit, now);
-    if (dead || (head.status == Misdirected && flight.path.empty()))
-        m_book.suspect(culprit, now);
+    const FleetEndpoint *atFault = head.faultyAddress.empty()
+                                       ? m_fleet->find(flight.endpoint)
+                                       : m_fleet->atAddress(head.faultyAddress);
+    const std::string faultyEndpoint = atFault ? atFault->id : flight.endpoint;
+    const bool stalled = now - flight.sentAt >= StalledRejection;
+    if (stalled)
+        recordStalled(flight, faultyEndpoint, now);
+    if (stalled || (head.status == Misdirected && flight.path.empty()))
+        m_engines.suspect(faultyEndpoint, now);
     else
-        m_book.refusedBusy(culprit, now);
-    std::string reason = "refused by " + culprit + " with " + std::to_string(head.status);
+        m_engines.refusedBusy(faultyEndpoint, now);
+    std::string reason = "refused by " + faultyEndpoint + " with " + std::to_string(head.status);
     if (flight.trial.state == Trial::State::Sent) {
-        endTrial(flight, TrialOutcome::Inconclusive, actions);
-        return end(id, endOf(flight, FlightOutcome::Failed), std::move(reason), actions);
+        finishTrial(flight, TrialOutcome::Inconclusive, actions);
+        return finish(id, outcomeOf(flight, FlightOutcome::Failed), std::move(reason), actions);
     }
-    again(id, flight, false, culprit, std::move(reason), now, actions);
+    retry(id, flight, false, faultyEndpoint, std::move(reason), now, actions);
 }
 
-void Relay::noteLimit(const Flight &flight, const AnswerHead &head, Time now)
+void Relay::recordRateLimit(const Flight &flight, const AnswerHead &head, Time now)
 {
     const FleetEndpoint *endpoint = m_fleet->find(flight.endpoint);
-    const bool ownWord = head.provenExecuted || head.notExecuted;
-    if (endpoint && (ownWord || head.rateLimit))
+    const bool fromEndpoint = head.provenExecuted || head.notExecuted;
+    if (endpoint && (fromEndpoint || head.rateLimit))
         m_limits.answered(*endpoint, head.rateLimit, now);
 }
 
@@ -490,52 +492,52 @@
     Flight *flight = current(id, attempt);
     if (!flight)
         return false;
-    m_book.recordAnswer(flight->endpoint, now);
+    m_engines.recordAnswer(flight->endpoint, now);
     m_quarantine.endpointSentData(flight->endpoint, now);
-    noteLimit(*flight, head, now);
+    recordRateLimit(*flight, head, now);
     if (head.running && !flight->path.empty())
-        m_book.updateScale(flight->endpoint, flight->domain, *head.running);
+        m_engines.updateScale(flight->endpoint, flight->domain, *head.running);
     if (head.notExecuted || head.status == Misdirected) {
-        rejected(id, *flight, head, now, actions);
+        handleRejection(id, *flight, head, now, actions);
         return false;
     }
     if (!head.provenExecuted) {
-        m_book.finished(flight->endpoint, true, now);
-        again(id, *flight, true, flight->endpoint, "unsealed answer of " + flight->endpoint, now,
+        m_engines.finished(flight->endpoint, true, now);
+        retry(id, *flight, true, flight->endpoint, "unsealed answer of " + flight->endpoint, now,
               actions);
         return false;
     }
     const bool failed = head.status >= FirstServerError;
     const bool stream = flight->request.route->kind == RequestKind::Stream;
-    m_book.finished(flight->endpoint, failed, now);
+    m_engines.finished(flight->endpoint, failed, now);
     if (failed && mayRunAgain(*flight) && flight->request.route->maxAttempts > 1
         && flight->sends < flight->request.route->maxAttempts) {
         actions.push_back(AbandonAttempt {id, attempt});
-        again(id, *flight, true, flight->endpoint, "failure of " + flight->endpoint, now, actions);
+        retry(id, *flight, true, flight->endpoint, "failure of " + flight->endpoint, now, actions);
         return false;
     }
     if (stream && !failed) {
         for (const PathPart &part : flight->path)
-            m_book.resetRefusals(part.endpoint);
+            m_engines.resetRefusals(part.endpoint);
         flight->state = State::Streaming;
         return true;
     }
     // The caller has the head and events of an earlier attempt: a failure after
     // them can only be shown by breaking off.
-    if (flight->passing) {
-        end(id, FlightOutcome::Truncated, "failure of " + flight->endpoint, actions);
+    if (flight->eventsForwarded) {
+        finish(id, FlightOutcome::Truncated, "failure of " + flight->endpoint, actions);
         return false;
     }
     passAnswer(id, *flight, !failed, now, actions);
     return false;
 }
 
-void Relay::passAnswer(FlightId id, Flight &flight, bool ranWell, Time now, RelayActions &actions)
+void Relay::passAnswer(FlightId id, Flight &flight, bool succeeded, Time now, RelayActions &actions)
 {
-    if (ranWell)
+    if (succeeded)
         m_quarantine.requestSucceeded(flight.request.digest, now);
-    endTrial(flight, ranWell ? TrialOutcome::Succeeded : TrialOutcome::Inconclusive, actions);
-    release(flight);
+    finishTrial(flight, succeeded ? TrialOutcome::Succeeded : TrialOutcome::Inconclusive, actions);
+    endAttempt(flight);
     m_flights.erase(id);
     m_counts.passed += 1;
     actions.push_back(PassAnswer {id});
@@ -547,9 +549,9 @@
     Flight *flight = current(id, attempt);
     if (!flight)
         return;
-    flight->passing = true;
+    flight->eventsForwarded = true;
     flight->progressAt = now;
-    noteProgress(*flight, now, actions);
+    recordProgress(*flight, now, actions);
     if (lastEvent)
         flight->lastEvent = lastEvent;
 }
@@ -570,8 +572,8 @@
     const std::uint32_t attempt = it->second.attempt;
     const bool sent = it->second.state != State::Waiting;
     if (sent)
-        noteGivenUp(it->second, now);
-    release(it->second);
+        recordAbandoned(it->second, now);
+    endAttempt(it->second);
     m_flights.erase(it);
     if (sent)
         actions.push_back(AbandonAttempt {id, attempt});
--- a/src/libbalsamloft/relaypath.cpp
+++ b/src/libbalsamloft/relaypath.cpp
@@ -13,30 +13,30 @@
 bool Relay::changePath(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (flight.path.size() < 2 || flight.pathChanges >= m_settings.maxPathChanges
-        || underSuspicion(flight, now))
+        || isSuspected(flight, now))
         return false;
     const PathPart first = flight.path.front();
     const FleetEndpoint *engine = m_fleet->find(first.endpoint);
-    if (!engine || !m_book.usable(first.endpoint, now))
+    if (!engine || !m_engines.usable(first.endpoint, now))
         return false;
     PathQuery query;
     query.domain = flight.domain;
     query.promptTokens = flight.request.promptTokens;
     query.answerTokens = flight.request.answerTokens;
     query.first = &first;
-    query.minCostNoise = flight.cutEarly ? m_settings.rerouteSpread : 0;
-    auto path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
+    query.minCostNoise = flight.failedEarly ? m_settings.rerouteSpread : 0;
+    auto path = m_chooser.choose(*m_fleet, service(flight), m_engines, query, now, m_random);
     if (!path || path->full || path->parts == flight.path)
         return false;
-    vacate(flight);
+    removeLoad(flight);
     flight.path = std::move(path->parts);
-    expect(flight, *path);
-    occupy(flight);
-    crossDomains(flight, now);
+    setExpectedTimes(flight, *path);
+    addLoad(flight);
+    recordTransfers(flight, now);
     flight.pathChanges += 1;
-    flight.pathAskedAt = now;
+    flight.pathChangeSentAt = now;
     // What it passed so far says nothing of its new engines.
-    if (!flight.runsWell)
+    if (!flight.provenHarmless)
         flight.firstEventAt.reset();
     m_counts.pathsChanged += 1;
     actions.push_back(ChangePath {id, flight.attempt, flight.request.id, first.endpoint,
@@ -45,25 +45,25 @@
 }
 
 void Relay::pathChanged(FlightId id, std::uint32_t attempt, PathReply reply,
-                        std::string_view atAddress, Time now, RelayActions &actions)
+                        std::string_view faultyAddress, Time now, RelayActions &actions)
 {
     Flight *flight = current(id, attempt);
-    if (!flight || !flight->pathAskedAt)
+    if (!flight || !flight->pathChangeSentAt)
         return;
-    flight->pathAskedAt.reset();
+    flight->pathChangeSentAt.reset();
     if (reply == PathReply::Refused) {
-        if (const FleetEndpoint *culprit = m_fleet->atAddress(atAddress))
-            m_book.refusedBusy(culprit->id, now);
+        if (const FleetEndpoint *faulty = m_fleet->atAddress(faultyAddress))
+            m_engines.refusedBusy(faulty->id, now);
         if (changePath(id, *flight, now, actions))
             return;
     }
-    if (reply != PathReply::Taken) {
+    if (reply != PathReply::Accepted) {
         if (worthMoving(*flight, now))
-            recover(id, *flight, "its path could not be changed", now, actions);
+            abandonAndRetry(id, *flight, "its path could not be changed", now, actions);
         return;
     }
     // What its new engines have to read is no silence of theirs.
-    flight->progressAt = now + flight->expectedFirst;
+    flight->progressAt = now + flight->expectedFirstEvent;
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -10,18 +10,18 @@
 std::optional<std::string> Relay::firstSuspect(const Flight &flight, Time now) const
 {
     if (flight.path.empty())
-        return m_book.suspected(flight.endpoint, now) ? std::make_optional(flight.endpoint)
-                                                      : std::nullopt;
+        return m_engines.suspected(flight.endpoint, now) ? std::make_optional(flight.endpoint)
+                                                         : std::nullopt;
     const auto found =
         std::find_if(flight.path.begin(), flight.path.end(), [&](const PathPart &part) {
-            return m_book.suspected(part.endpoint, now) || !m_fleet->find(part.endpoint);
+            return m_engines.suspected(part.endpoint, now) || !m_fleet->find(part.endpoint);
         });
     return found == flight.path.end() ? std::nullopt : std::make_optional(found->endpoint);
 }
 
-void Relay::ask(const std::string &endpoint, Time now, RelayActions &actions)
+void Relay::queryEngine(const std::string &endpoint, Time now, RelayActions &actions)
 {
-    const auto [it, fresh] = m_askedAt.try_emplace(endpoint, now);
+    const auto [it, fresh] = m_queriedAt.try_emplace(endpoint, now);
     if (!fresh && now - it->second < m_settings.queryInterval)
         return;
     it->second = now;
@@ -29,14 +29,14 @@
         actions.push_back(QueryEngine {endpoint, found->address});
 }
 
-void Relay::reported(const std::string &endpoint, const std::vector<std::string> &stalledAt,
-                     double pace, Time now, RelayActions &actions)
+void Relay::queryAnswered(const std::string &endpoint, const std::vector<std::string> &stalledAt,
+                          double slowdown, Time now, RelayActions &actions)
 {
-    m_book.recordAnswer(endpoint, now);
-    m_book.setSlowdown(endpoint, pace, now);
+    m_engines.recordAnswer(endpoint, now);
+    m_engines.setSlowdown(endpoint, slowdown, now);
     for (const std::string &address : stalledAt)
         if (const FleetEndpoint *found = m_fleet->atAddress(address))
-            m_book.suspect(found->id, now);
+            m_engines.suspect(found->id, now);
     tick(now, actions);
 }
 
@@ -45,37 +45,37 @@
     for (const EngineState &state : reports.changed) {
         if (!m_fleet->find(state.id))
             continue;
-        m_book.reported(state, now);
+        m_engines.reported(state, now);
         if (state.silent)
             m_quarantine.endpointUnresponsive(state.id, state.at);
     }
     for (const FleetEndpoint &each : m_fleet->endpoints)
         if (const auto asOf = reports.asOf.find(each.domain); asOf != reports.asOf.end())
-            m_book.confirmUnchanged(each.id, asOf->second, now);
+            m_engines.confirmUnchanged(each.id, asOf->second, now);
     tick(now, actions);
 }
 
 void Relay::queryFailed(const std::string &endpoint, Time now, RelayActions &actions, bool refused)
 {
-    m_book.suspect(endpoint, now);
+    m_engines.suspect(endpoint, now);
     if (refused)
         m_quarantine.endpointCrashed(endpoint, now);
     tick(now, actions);
 }
 
-void Relay::follow(FleetPtr fleet, Time now, RelayActions &actions)
+void Relay::setFleet(FleetPtr fleet, Time now, RelayActions &actions)
 {
     m_fleet = std::move(fleet);
-    m_book.follow(*m_fleet);
+    m_engines.follow(*m_fleet);
     m_limits.follow(*m_fleet);
-    std::erase_if(m_askedAt, [&](const auto &each) { return !m_fleet->find(each.first); });
-    settleDoubts(now);
+    std::erase_if(m_queriedAt, [&](const auto &each) { return !m_fleet->find(each.first); });
+    resolveUnconfirmed(now);
     tick(now, actions);
 }
 
 /// A process that stood still finds all its streams silent for that long. The
 /// silence was its own: charged to the engines, it would eject all of them.
-void Relay::forgiveLostTime(Time now)
+void Relay::discountPause(Time now)
 {
     const Duration lost = now - m_lastTick;
     if (m_lastTick != Time {} && lost > m_settings.maxTickGap)
@@ -88,38 +88,38 @@
 
 void Relay::tick(Time now, RelayActions &actions)
 {
-    forgiveLostTime(now);
+    discountPause(now);
     for (const FlightId id : flightIds()) {
         const auto it = m_flights.find(id);
         if (it != m_flights.end())
             watch(id, it->second, now, actions);
     }
-    askDoubtful(now, actions);
-    tellCrashes(now, actions);
+    queryUnconfirmed(now, actions);
+    publishCrashes(now, actions);
 }
 
 void Relay::watch(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (now >= flight.deadline) {
         if (flight.state != State::Waiting) {
-            noteGivenUp(flight, now);
-            flight.ranAt.push_back(flight.endpoint);
+            recordAbandoned(flight, now);
+            flight.mayHaveRunAt.push_back(flight.endpoint);
             actions.push_back(AbandonAttempt {id, flight.attempt});
         }
-        return end(id, endOf(flight, FlightOutcome::TimedOut), "its time is over", actions);
+        return finish(id, outcomeOf(flight, FlightOutcome::TimedOut), "its time is over", actions);
     }
     if (recall(id, flight, now, actions))
         return;
     if (flight.state == State::Waiting)
-        return giveUpWaiting(id, flight, now, actions);
+        return watchWaiting(id, flight, now, actions);
     if (service(flight).model)
         return watchStream(id, flight, now, actions);
     if (flight.request.route->idempotent() && now - flight.sentAt >= m_settings.callAttemptTimeout
         && flight.sends < flight.request.route->maxAttempts && mayRunAgain(flight))
-        recover(id, flight, "no answer of " + flight.endpoint, now, actions);
+        abandonAndRetry(id, flight, "no answer of " + flight.endpoint, now, actions);
 }
 
-void Relay::giveUpWaiting(FlightId id, Flight &flight, Time now, RelayActions &actions)
+void Relay::watchWaiting(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     dispatch(id, flight, now, actions);
     const auto it = m_flights.find(id);
@@ -130,23 +130,23 @@
         static_cast<double>(flight.request.route->targetLatency.count())
         * (service(flight).model ? m_settings.streamWaitShare : m_settings.callWaitShare)));
     const Duration paused = now - flight.progressAt;
-    const bool over = flight.passing          ? paused >= m_settings.resumeTimeout
-                      : !flight.ranAt.empty() ? paused >= m_settings.rerunTimeout
-                                              : waited >= hold;
+    const bool over = flight.eventsForwarded         ? paused >= m_settings.resumeTimeout
+                      : !flight.mayHaveRunAt.empty() ? paused >= m_settings.rerunTimeout
+                                                     : waited >= hold;
     if (!over)
         return;
-    const FlightOutcome how = endOf(flight, FlightOutcome::Failed);
+    const FlightOutcome outcome = outcomeOf(flight, FlightOutcome::Failed);
     std::string reason = flight.lastReason;
-    end(id, how, std::move(reason), actions);
+    finish(id, outcome, std::move(reason), actions);
 }
 
-void Relay::recover(FlightId id, Flight &flight, std::string reason, Time now,
-                    RelayActions &actions)
+void Relay::abandonAndRetry(FlightId id, Flight &flight, std::string reason, Time now,
+                            RelayActions &actions)
 {
     actions.push_back(AbandonAttempt {id, flight.attempt});
-    noteGivenUp(flight, now);
-    const std::string culprit = flight.endpoint;
-    again(id, flight, true, culprit, std::move(reason), now, actions);
+    recordAbandoned(flight, now);
+    const std::string faultyEndpoint = flight.endpoint;
+    retry(id, flight, true, faultyEndpoint, std::move(reason), now, actions);
 }
 
 /// A stream that has begun is lost for sure once it is broken off and cannot go on
@@ -154,7 +154,7 @@
 /// turns up in time. One that has not begun is better told at once.
 bool Relay::worthMoving(const Flight &flight, Time now)
 {
-    if (!flight.passing)
+    if (!flight.eventsForwarded)
         return true;
     if (!mayRunAgain(flight, flight.endpoint) || !budget(flight).canWithdraw(now))
         return false;
@@ -166,34 +166,34 @@
 
 void Relay::watchStream(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
-    if (flight.pathAskedAt) {
-        if (now - *flight.pathAskedAt >= m_settings.pathChangeTimeout)
+    if (flight.pathChangeSentAt) {
+        if (now - *flight.pathChangeSentAt >= m_settings.pathChangeTimeout)
             pathChanged(id, flight.attempt, PathReply::Lost, {}, now, actions);
         return;
     }
     const Duration pause = now - flight.progressAt;
     const Duration expected =
-        flight.state == State::Streaming ? flight.expectedGap : flight.expectedFirst;
+        flight.state == State::Streaming ? flight.expectedEventInterval : flight.expectedFirstEvent;
     const std::optional<std::string> suspect = firstSuspect(flight, now);
     const bool idempotent = flight.request.route->idempotent();
     if (suspect && pause >= m_settings.suspectPause + expected) {
-        noteStalled(flight, *suspect, now);
+        recordStalled(flight, *suspect, now);
         flight.lastReason = "an engine of its path does not answer";
         if (changePath(id, flight, now, actions))
             return;
         if (idempotent && worthMoving(flight, now))
-            return recover(id, flight, flight.lastReason, now, actions);
+            return abandonAndRetry(id, flight, flight.lastReason, now, actions);
     }
     // One that has not begun may wait its turn at a busy engine; moved, it
     // would wait again elsewhere, and cost a repeat.
-    const Duration most =
+    const Duration timeout =
         flight.state == State::Streaming ? m_settings.stallTimeout : m_settings.startTimeout;
-    if (idempotent && pause >= most + expected && worthMoving(flight, now))
-        return recover(id, flight, "stands still", now, actions);
+    if (idempotent && pause >= timeout + expected && worthMoving(flight, now))
+        return abandonAndRetry(id, flight, "stands still", now, actions);
     const auto patience =
         Duration(static_cast<std::int64_t>(expected.count() * m_settings.queryAfterGaps));
     if (pause >= std::max(m_settings.queryAfterPause, patience))
-        ask(flight.endpoint, now, actions);
+        queryEngine(flight.endpoint, now, actions);
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -229,7 +229,7 @@
         }
         REQUIRE(all.starts_with(whole));
         REQUIRE((whole.empty() || whole.ends_with("\n\n")));
-        REQUIRE(whole.size() + splitter.held() == stop);
+        REQUIRE(whole.size() + splitter.bufferedBytes() == stop);
         REQUIRE(splitter.lastId().value_or(0)
                 == static_cast<std::uint64_t>(std::count(whole.begin(), whole.end(), '\n') / 3));
     }
--- a/src/libbalsamloft/trialpermits.cpp
+++ b/src/libbalsamloft/trialpermits.cpp
@@ -31,7 +31,7 @@
 {
 }
 
-void TrialPermits::learn(std::vector<TrialRow> rows, std::span<const CrashRecord> crashes)
+void TrialPermits::setRows(std::vector<TrialRow> rows, std::span<const CrashRecord> crashes)
 {
     std::map<std::string, TrialRow, std::less<>> known;
     for (TrialRow &each : rows) {
@@ -57,46 +57,46 @@
     return none;
 }
 
-bool TrialPermits::runs(const TrialRow &row, Time storeNow) const
+bool TrialPermits::isRunning(const TrialRow &row, Time storeNow) const
 {
-    return !row.at.empty() && storeNow < row.until + m_settings.margin;
+    return !row.counterpart.empty() && storeNow < row.until + m_settings.margin;
 }
 
-bool TrialPermits::endTold(const std::string &digest, const std::string &endpoint) const
+bool TrialPermits::crashPublished(const std::string &digest, const std::string &endpoint) const
 {
     return m_crashes.contains({digest, endpoint});
 }
 
-Duration TrialPermits::waitFor(const TrialRow &row, Time storeNow) const
+Duration TrialPermits::retryDelay(const TrialRow &row, Time storeNow) const
 {
     // Most tries are over long before their time.
     return std::max(m_settings.retryInterval, row.until - storeNow);
 }
 
 std::variant<TrialChange, TrialAnswer>
-TrialPermits::ask(const TrialRequest &request, const FleetSnapshot &fleet, Time storeNow) const
+TrialPermits::decide(const TrialRequest &request, const FleetSnapshot &fleet, Time storeNow) const
 {
     TrialRow content = row(contentTrialKey(request.digest));
-    const bool told = endTold(request.digest, content.at);
-    if (!told && runs(content, storeNow))
-        return TrialAnswer {false, {}, false, waitFor(content, storeNow)};
+    const bool told = crashPublished(request.digest, content.counterpart);
+    if (!told && isRunning(content, storeNow))
+        return TrialAnswer {false, {}, false, retryDelay(content, storeNow)};
     TrialChange change;
-    if (!told && !content.at.empty() && !fleet.find(content.at)) {
-        change.crash = CrashRecord {request.digest, content.at, content.until};
-        content.at.clear();
+    if (!told && !content.counterpart.empty() && !fleet.find(content.counterpart)) {
+        change.crash = CrashRecord {request.digest, content.counterpart, content.until};
+        content.counterpart.clear();
         change.rows = {content};
         return change;
     }
-    if (request.limited && content.tries >= m_settings.maxTrials)
+    if (request.limited && content.trials >= m_settings.maxTrials)
         return TrialAnswer {false, {}, false, content.until + m_settings.retention - storeNow};
     TrialRow endpoint = row(endpointTrialKey(request.endpoint));
-    if (runs(endpoint, storeNow))
+    if (isRunning(endpoint, storeNow))
         return TrialAnswer {false, {}, true, m_settings.retryInterval};
-    content.at = request.endpoint;
-    endpoint.at = request.digest;
-    content.tries += request.limited ? 1 : 0;
+    content.counterpart = request.endpoint;
+    endpoint.counterpart = request.digest;
+    content.trials += request.limited ? 1 : 0;
     content.holder = endpoint.holder = m_settings.holder;
-    content.until = endpoint.until = storeNow + m_settings.lasts;
+    content.until = endpoint.until = storeNow + m_settings.validFor;
     change.rows = {std::move(content), std::move(endpoint)};
     return change;
 }
@@ -105,15 +105,15 @@
                                  bool committed, Time storeNow) const
 {
     if (committed && !asked.crash)
-        return {true, m_settings.lasts, false, {}};
+        return {true, m_settings.validFor, false, {}};
     const TrialRow content = row(contentTrialKey(request.digest));
-    const bool taken = !committed && !runs(content, storeNow)
-                       && runs(row(endpointTrialKey(request.endpoint)), storeNow);
-    return {false, {}, taken, waitFor(content, storeNow)};
+    const bool taken = !committed && !isRunning(content, storeNow)
+                       && isRunning(row(endpointTrialKey(request.endpoint)), storeNow);
+    return {false, {}, taken, retryDelay(content, storeNow)};
 }
 
-void TrialPermits::written(const TrialChange &change, bool committed, std::uint64_t version,
-                           std::span<const TrialRow> found)
+void TrialPermits::recordWrite(const TrialChange &change, bool committed, std::uint64_t version,
+                               std::span<const TrialRow> found)
 {
     for (const TrialRow &each : found)
         m_rows.insert_or_assign(each.key, each);
@@ -132,8 +132,9 @@
 std::optional<TrialChange> TrialPermits::release(const std::string &digest, TrialOutcome end) const
 {
     TrialRow content = row(contentTrialKey(digest));
-    const TrialRow endpoint = row(endpointTrialKey(content.at));
-    if (content.at.empty() || content.holder != m_settings.holder || endpoint.at != digest)
+    const TrialRow endpoint = row(endpointTrialKey(content.counterpart));
+    if (content.counterpart.empty() || content.holder != m_settings.holder
+        || endpoint.counterpart != digest)
         return std::nullopt;
     TrialChange change;
     change.removed.push_back(endpoint);
@@ -141,9 +142,9 @@
         change.removed.push_back(std::move(content));
         return change;
     }
-    if (end == TrialOutcome::NotSent && content.tries > 0)
-        content.tries -= 1;
-    content.at.clear();
+    if (end == TrialOutcome::NotSent && content.trials > 0)
+        content.trials -= 1;
+    content.counterpart.clear();
     change.rows.push_back(std::move(content));
     return change;
 }
--- a/src/libbalsamloft/trialpermits_test.cpp
+++ b/src/libbalsamloft/trialpermits_test.cpp
@@ -37,12 +37,12 @@
     TrialAnswer ask(std::size_t instance, const TrialRequest &request, bool answerLost = false)
     {
         TrialPermits &permits = m_instances[instance];
-        const auto decision = permits.ask(request, m_fleet, now);
+        const auto decision = permits.decide(request, m_fleet, now);
         if (const auto *refused = std::get_if<TrialAnswer>(&decision))
             return *refused;
         const auto &change = std::get<TrialChange>(decision);
         const bool done = write(change) && !answerLost;
-        permits.written(change, done, m_store.version(), m_store.rows());
+        permits.recordWrite(change, done, m_store.version(), m_store.rows());
         return permits.answer(request, change, done, now);
     }
 
@@ -52,13 +52,13 @@
         if (!change)
             return;
         const bool done = write(*change);
-        m_instances[instance].written(*change, done, m_store.version(), {});
+        m_instances[instance].recordWrite(*change, done, m_store.version(), {});
     }
 
     void tellAll()
     {
         for (TrialPermits &each : m_instances)
-            each.learn(m_store.rows(), crashes);
+            each.setRows(m_store.rows(), crashes);
     }
 
     Time now = Start;
