--- a/src/include/balsamloft/eventsplitter.h
+++ b/src/include/balsamloft/eventsplitter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Cuts a stream of server-sent events into whole events.
+/// Splits a stream of server-sent events into complete events.
 
 #pragma once
 
@@ -10,25 +10,25 @@
 
 namespace balsamloft {
 
-/// Takes the bytes of a stream as they arrive and gives back whole events only:
-/// an engine may break off in the middle of one, and what was passed on of it
-/// could not be taken back when the stream goes on elsewhere.
+/// Buffers the bytes of a stream and returns only complete events. If an engine fails in the
+/// middle of an event, the stream resumes on another one, and a forwarded part of the event
+/// would remain in the caller's stream.
 class EventSplitter
 {
 public:
-    /// Adds \a bytes and appends the events that are whole to \a complete. Events
-    /// at or before \a after were passed already and are left out.
-    /// \return how many events were appended.
+    /// Adds \a bytes and appends the events that are now complete to \a complete, except those
+    /// with ids up to \a after, which were forwarded before.
+    /// \return the number of events appended.
     std::size_t add(std::string_view bytes, std::optional<std::uint64_t> after,
                     std::string &complete);
 
-    /// Id of the last whole event that had one.
+    /// Id of the last complete event that had one.
     std::optional<std::uint64_t> lastId() const { return m_lastId; }
 
-    /// Whether bytes of an unfinished event are held.
+    /// Whether an incomplete event is buffered.
     bool partial() const { return !m_buffer.empty(); }
 
-    /// Bytes held of an unfinished event.
+    /// Buffered bytes of an incomplete event.
     std::size_t bufferedBytes() const { return m_buffer.size(); }
 
 private:
--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -1,5 +1,6 @@
 /// \file
-/// Decides which requests are held back since the endpoints that ran them ended.
+/// Detects requests that crash endpoints, from crash records of all instances, and
+/// quarantines them.
 
 #pragma once
 
@@ -14,17 +15,17 @@
 
 namespace balsamloft {
 
-/// An endpoint ended while it was to run a request.
+/// An endpoint crashed during or right before the execution of a request.
 struct CrashRecord
 {
     std::string digest; ///< of the request's content, see requestDigest()
-    std::string endpoint; ///< id of the process that ended
+    std::string endpoint; ///< id of the process that crashed
     Time at {};
 
     bool operator==(const CrashRecord &) const = default;
 };
 
-/// Changes of what this instance has other instances know.
+/// Changes to the crash records that this instance publishes to the others.
 struct CrashUpdate
 {
     std::vector<CrashRecord> added;
@@ -36,47 +37,49 @@
 /// Whether a request may be sent to endpoints.
 enum class Verdict : std::uint8_t {
     Allowed,
-    TrialOnly, ///< only as the one try that the whole fleet permits, see TrialPermits
-    Deferred, ///< not now: the ends of endpoints under it may have another cause
+    TrialOnly, ///< only with a permit, of which the fleet grants one at a time, see TrialPermits
+    Deferred, ///< not now: records of other instances may name another cause of the crashes
     Quarantined,
 };
 
 /// Settings of a Quarantine.
 struct QuarantineSettings
 {
-    /// Endpoints that ended under a held request, and whose end no other request explains.
+    /// Crashes that quarantine a request, if no other request explains them.
     std::size_t crashesToQuarantine = 3;
-    /// The same when something speaks for the request: others were on these endpoints
-    /// too, or it came through shortly before.
+    /// Crashes that quarantine a request even if other requests were on the same endpoints, or
+    /// it succeeded shortly before.
     std::size_t crashesToForceQuarantine = 5;
-    /// An endpoint that has begun a request ends by then, also when it was given up.
+    /// An endpoint that is crashed by a request crashes within this time of starting it, also
+    /// if the request was abandoned meanwhile.
     Duration crashDelay {200'000};
-    /// One at which a run stands still is asked by then; silence proves nothing after that.
+    /// An endpoint where a request stalls has been queried by then. A missing answer later than
+    /// that proves nothing.
     Duration stallQueryWindow {1'000'000};
-    /// After an endpoint's end: all that stood beside are known everywhere by then.
+    /// After a crash, the records of all instances have been received by then.
     Duration propagationDelay {2'000'000};
-    /// Endpoints that ended under a request, from which on it is sent by trial only, and
-    /// what runs without a permit is taken back.
+    /// Crashes from which a request is only sent as a trial, and attempts without a permit are
+    /// recalled.
     std::size_t crashesToRequireTrial = 2;
-    Duration retention {600'000'000}; ///< how long the end of an endpoint is held against a request
-    /// A request that only stood beside comes through elsewhere by then, and nobody
-    /// need be told of it.
+    Duration retention {600'000'000}; ///< how long a crash counts against a request
+    /// A single crash is published after this time. Requests that were only on the endpoint by
+    /// chance succeed elsewhere before that and need no record.
     Duration publishDelay {500'000};
-    Duration successWindow {10'000'000}; ///< a success so long before an end speaks for the request
-    std::size_t maxDigests = 1024; ///< that are suspected at a time
-    std::size_t maxSuccesses = 1024; ///< digests that came through last
-    /// Records that instances tell each other; beyond it only of requests under which
-    /// several endpoints ended.
+    Duration successWindow {10'000'000}; ///< a success this recent speaks for the request
+    std::size_t maxDigests = 1024; ///< suspected requests stored at a time
+    std::size_t maxSuccesses = 1024; ///< recent successes stored
+    /// Records that instances publish together. Beyond that, only those of requests with
+    /// several crashes are published.
     std::size_t maxShared = 1000;
-    std::size_t maxPerUpdate = 40; ///< records that are told at a time
+    std::size_t maxPerUpdate = 40; ///< records added by one update
 };
 
-/// Keeps which requests were on endpoints that ended, here and at other instances.
+/// Stores which requests were on endpoints that crashed, here and at other instances.
 ///
-/// An endpoint's end alone proves nothing against a request: most only stood beside.
-/// A request is held back once several endpoints in a row ended under it, with no run
-/// that came through in between, and no other request explains these ends: one that was
-/// there too and under which as many ended as it takes to hold it.
+/// A single crash proves nothing against a request: every request on the endpoint is
+/// interrupted by it. A request is quarantined after crashes of several endpoints, without a
+/// success between them, if no other request explains these crashes. A request explains a
+/// crash if it was on the endpoint too and has enough crashes to be quarantined.
 class Quarantine
 {
 public:
@@ -84,76 +87,80 @@
 
     // Commands
 
-    /// \a endpoint broke a run of the request off, early in it. Whether it ended is
-    /// not known yet: it has to be asked.
+    /// \a endpoint broke an attempt of the request early. It must be queried to find out
+    /// whether it crashed.
     void attemptBroken(const std::string &digest, const std::string &endpoint, Time now);
 
-    /// This instance gave a run of the request up that had not gone well so far. If
-    /// \a endpoint had just begun it, it may end all the same.
+    /// This instance abandoned an attempt of the request that was not yet proven harmless. If
+    /// \a endpoint had just started it, the endpoint may still crash.
     void attemptAbandoned(const std::string &digest, const std::string &endpoint, Time now);
 
-    /// A run of the request stands still at \a endpoint in the middle of its path, which
-    /// does not answer. It may have ended, or be cut off.
+    /// An attempt is stalled at \a endpoint, in the middle of its path. The endpoint does not
+    /// answer: it may have crashed or be partitioned.
     void attemptStalled(const std::string &digest, const std::string &endpoint, Time now);
 
-    /// \a endpoint answered a question that was sent at \a asked: it ended under nothing
-    /// before.
-    void endpointAnswered(const std::string &endpoint, Time asked);
+    /// \a endpoint answered a query sent at \a queriedAt, so no earlier interruption was a crash.
+    void endpointAnswered(const std::string &endpoint, Time queriedAt);
 
-    /// Bytes of \a endpoint were read. Those that it sent before it ended may be read
-    /// after it broke another run off, so they say nothing of that one.
+    /// Data from \a endpoint was received. It may have been sent before a crash and read after
+    /// another attempt broke, so it does not clear broken attempts.
     void endpointSentData(const std::string &endpoint, Time now);
 
-    /// The process of \a endpoint is surely gone.
+    /// The process of \a endpoint has certainly terminated.
     void endpointCrashed(const std::string &endpoint, Time now);
 
-    /// \a endpoint answered nobody as of \a at, by the word of the reader of its domain,
-    /// which hears the endpoints beside it.
+    /// The reader of the domain reported that \a endpoint answered no instance as of \a at. The
+    /// reader is in the same domain, so it does not mistake a lost link for a crash.
     void endpointUnresponsive(const std::string &endpoint, Time at);
 
-    /// \a endpoint is no longer listed, which it may also be since it is cut off: only
-    /// what it broke off itself tells that it ended.
+    /// \a endpoint is no longer listed. Since a partition has the same effect, only attempts
+    /// that the endpoint broke are counted as crashes.
     void endpointDelisted(const std::string &endpoint, Time now);
 
-    /// The request ran well: whatever ended endpoints so far, it was not this one. Later
-    /// it may all the same: endpoints change, and their software.
+    /// The request succeeded, which clears all its crashes so far. Later crashes count again:
+    /// endpoints and their software change.
     void requestSucceeded(const std::string &digest, Time now);
 
-    /// All that instances have told each other, as of now.
+    /// Replaces the records published by all instances.
     void setShared(const std::vector<CrashRecord> &all);
 
-    /// What is to be told to other instances now.
+    /// Returns the changes to be published now, and marks them as published.
     CrashUpdate takeUpdate(Time now);
 
     // Queries
 
     const QuarantineSettings &settings() const { return m_settings; }
 
-    /// Endpoints that ended under the request.
+    /// Number of endpoints that crashed with the request.
     std::size_t crashes(const std::string &digest, Time now) const;
 
-    /// Whether it is not known yet if enough endpoints ended to send it no more.
+    /// Whether unconfirmed crashes, if confirmed, would give the request at least two.
     bool awaitsConfirmation(const std::string &digest, Time now) const;
 
     /// Whether the request may be sent to an endpoint.
     Verdict verdict(const std::string &digest, Time now) const;
 
-    /// How long a request that may not be sent is held back at most.
+    /// Maximum time until a request that may not be sent now may be sent.
     Duration blockedFor(const std::string &digest, Time now) const;
 
-    /// Endpoints of which it is not known whether they ended, though it could be by now.
+    /// Endpoints with unconfirmed crashes that a query could confirm or clear now.
     std::vector<std::string> unconfirmedEndpoints(Time now) const;
 
     std::size_t suspectCount() const { return m_requests.size(); }
     std::size_t quarantinedCount(Time now) const;
 
 private:
-    enum class Stage : std::uint8_t { Unconfirmed, Confirmed, Published, Shared };
+    enum class Stage : std::uint8_t {
+        Unconfirmed, ///< the endpoint may still be alive
+        Confirmed,
+        Published, ///< by this instance, and not yet received back
+        Shared, ///< among the records of all instances
+    };
 
-    /// How a run ended, or stopped, at an endpoint.
+    /// How an attempt was interrupted at an endpoint.
     enum class Interruption : std::uint8_t {
-        Broken, ///< by the endpoint itself
-        Abandoned, ///< by an instance
+        Broken, ///< by the endpoint
+        Abandoned, ///< by this instance
         Stalled, ///< it waits for the endpoint
     };
 
@@ -162,21 +169,21 @@
         Time at {};
         Stage stage = Stage::Unconfirmed;
         Interruption interruption = Interruption::Broken;
-        bool observedHere = false; ///< seen by this instance itself
-        Time clearedIfAliveAt {}; ///< an endpoint that is alive from then on did not end under it
+        bool observedHere = false; ///< by this instance
+        Time clearedIfAliveAt {}; ///< an endpoint alive at this time or later did not crash
     };
     using Crashes = std::map<std::string, Crash, std::less<>>; ///< by endpoint
 
-    bool isConfirmedCause(const std::string &digest, const Crashes &under, Time now) const;
+    bool isConfirmedCause(const std::string &digest, const Crashes &records, Time now) const;
     Duration deferredFor(const std::string &digest, Time now) const;
     Time lastCrash(const std::string &digest) const;
-    bool succeededBefore(const std::string &digest, const Crashes &under) const;
-    void confirmCrashes(const std::string &endpoint, Time endedAt, Time last);
+    bool succeededBefore(const std::string &digest, const Crashes &records) const;
+    void confirmCrashes(const std::string &endpoint, Time crashedAt, Time latestInterruption);
     void clearUnconfirmed(const std::string &endpoint, Time aliveAt, bool includingBroken);
     void addUnconfirmed(const std::string &digest, const std::string &endpoint, Crash crash);
     bool isCounted(const Crash &crash, Time now) const;
     bool wasObservedHere(const std::string &digest, const std::string &endpoint) const;
-    bool observedElsewhere(const Crashes &under, Time now) const;
+    bool observedElsewhere(const Crashes &records, Time now) const;
     bool explainedByOther(const std::string &digest, const std::string &endpoint, Time now) const;
     void add(const std::string &digest, const std::string &endpoint, Crash crash);
     void remove(const std::string &digest, const std::string &endpoint);
@@ -186,11 +193,11 @@
 
     QuarantineSettings m_settings;
     std::unordered_map<std::string, Crashes> m_requests; ///< by digest
-    std::map<std::string, std::set<std::string>, std::less<>> m_onEndpoint; ///< digests
-    std::size_t m_sharedCount = 0; ///< records that instances have told each other
-    std::vector<CrashRecord> m_retracted; ///< told to others before, and not true
-    std::unordered_map<std::string, Time> m_successes; ///< when digests came through last
-    std::deque<std::string> m_successOrder; ///< oldest first
+    std::map<std::string, std::set<std::string>, std::less<>> m_digestsByEndpoint;
+    std::size_t m_sharedCount = 0; ///< records published by all instances
+    std::vector<CrashRecord> m_retracted; ///< published records to be removed
+    std::unordered_map<std::string, Time> m_successes; ///< last success by digest
+    std::deque<std::string> m_successOrder; ///< digests, oldest first
 };
 
 } // namespace balsamloft
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -1,6 +1,6 @@
 /// \file
-/// Decides on requests that are forwarded whole: to which endpoint or along
-/// which path of engines, whether again, and how each ends.
+/// Forwards complete requests: chooses an endpoint or a path of engines for each attempt,
+/// decides on retries, and decides how each request finishes.
 
 #pragma once
 
@@ -15,66 +15,67 @@
 
 namespace balsamloft {
 
-/// A request as the core sees it; its bytes stay with the caller of the core.
+/// What the relay needs to know of a request. The session of the caller keeps its bytes.
 struct RelayRequest
 {
     std::string id;
-    std::string digest; ///< of its content, see requestDigest(); the same when it comes again
-    RouteMapPtr table; ///< the version that decides this request
+    std::string digest; ///< of the content, see requestDigest(); equal for repeated requests
+    RouteMapPtr table; ///< version of the routes that applies to this request
     const Route *route = nullptr; ///< in \a table
     std::uint32_t service = 0; ///< index in \a table
-    Duration timeLeft {}; ///< what the caller will wait
+    Duration timeLeft {}; ///< until the caller's deadline
     std::uint32_t promptTokens = 0;
     std::uint32_t answerTokens = 0; ///< expected
 };
 
+/// Identifies a flight: a request from submit() until it is answered or refused.
 using FlightId = std::uint64_t;
 
-/// How an attempt failed below the answer.
+/// Why an attempt failed without a valid answer.
 enum class AttemptFailure : std::uint8_t {
-    NotSent, ///< no byte left: nothing ran
-    Broken, ///< reset or closed early: it may have run
-    InvalidAnswer, ///< bytes that are no answer, or another request's answer
+    NotSent, ///< no byte was sent, so the request was not executed
+    Broken, ///< the connection was reset or closed early; the request may have been executed
+    InvalidAnswer, ///< malformed, or the answer to another request
 };
 
-/// The head of an endpoint's answer, as far as decisions need it.
+/// The head of an endpoint's answer, reduced to what decisions need.
 struct AnswerHead
 {
     int status = 0;
-    bool notExecuted = false; ///< the endpoint promises that it did not run the request
-    bool provenExecuted = false; ///< bears the mark of an endpoint that ran the request
-    std::string_view faultyAddress; ///< the engine at fault, when another one than asked
-    std::optional<std::uint32_t> running; ///< requests at the endpoint
-    /// Requests a second that the endpoint takes from all instances together; nothing: as
-    /// many as it can.
+    bool notExecuted = false; ///< the endpoint guarantees that it did not execute the request
+    bool provenExecuted = false; ///< carries the endpoint's proof that it executed the request
+    std::string_view faultyAddress; ///< the engine that failed, if not the one that answered
+    std::optional<std::uint32_t> running; ///< requests in progress at the endpoint
+    /// Requests per second that the endpoint accepts from all instances together; empty: no
+    /// limit.
     std::optional<double> rateLimit;
 };
 
 // Actions
 
-/// Send the request, or the rest of its stream, to an endpoint.
+/// Send the request, or ask for the rest of its stream, at an endpoint.
 struct SendRequest
 {
     FlightId flight = 0;
     std::uint32_t attempt = 0;
     std::string endpoint; ///< id
-    std::string name; ///< that the endpoint is listed under, and knows itself by
+    std::string name; ///< under which the endpoint is listed and which it expects in requests
     std::string address;
-    std::vector<PathPart> path; ///< empty: that endpoint alone
+    std::vector<PathPart> path; ///< empty for a plain endpoint
     Duration timeLeft {};
-    std::optional<std::uint64_t> afterEvent; ///< go on after this event
+    std::optional<std::uint64_t> afterEvent; ///< resume the stream after this event
     bool freshConnection = false;
-    std::string reason; ///< why this one, for the log
+    std::string reason; ///< for the log: why there is another attempt
 };
 
-/// Give an attempt up: close its connection, drop what still comes.
+/// Abandon an attempt: close its connection and discard further data from it.
 struct AbandonAttempt
 {
     FlightId flight = 0;
     std::uint32_t attempt = 0;
 };
 
-/// Give the caller the endpoint's answer as it is. The flight has ended.
+/// Forward the endpoint's answer to the caller unchanged. The flight is finished.
 struct PassAnswer
 {
     FlightId flight = 0;
@@ -83,62 +84,62 @@
 /// How an engine answered the order to change a path.
 enum class PathReply : std::uint8_t {
     Accepted,
-    Refused, ///< an engine of the new path cannot
-    Lost, ///< no such request there, or no answer
+    Refused, ///< an engine of the new path cannot accept the request
+    Lost, ///< the engine does not know the request, or did not answer
 };
 
-/// How a flight ends without an endpoint's answer.
+/// How a flight finishes without an endpoint's answer.
 enum class FlightOutcome : std::uint8_t {
-    NotExecuted, ///< a promise: nothing ran, nothing will
-    Failed, ///< it may have run
-    TimedOut, ///< it may have run; its time is over
-    Truncated, ///< events were passed already: the answer must not look complete
+    NotExecuted, ///< guaranteed: the request was not and will not be executed
+    Failed, ///< it may have been executed
+    TimedOut, ///< its deadline passed; it may have been executed
+    Truncated, ///< events were forwarded, so the answer must not look complete
 };
 
-/// Refuse the request, or break its answer off. The flight has ended.
+/// Refuse the request, or truncate its answer. The flight is finished.
 struct FinishFlight
 {
     FlightId flight = 0;
     FlightOutcome outcome = FlightOutcome::NotExecuted;
-    Duration retryAfter {}; ///< when to come back; only for NotRun
+    Duration retryAfter {}; ///< for the caller; only with NotExecuted
     std::string reason;
 };
 
-/// Ask an engine which requests stall, at which engine, and how fast it is.
+/// Query an engine for its slowdown and for the engines that its requests are stalled at.
 struct QueryEngine
 {
     std::string endpoint;
     std::string address;
 };
 
-/// Have the first engine of an attempt carry it on along another path that
-/// begins with the same part. The attempt, its connection and what the other
-/// engines keep of it stay.
+/// Order the first engine of an attempt to continue it along another path that begins with
+/// the same part. The attempt, its connection and the cached state on the engines that both
+/// paths share are kept.
 struct ChangePath
 {
     FlightId flight = 0;
     std::uint32_t attempt = 0;
-    std::string request; ///< id of the request, as the engine knows it
+    std::string request; ///< id under which the engine knows the request
     std::string endpoint; ///< id of the first engine
     std::string address;
     std::vector<PathPart> path;
     std::string reason;
 };
 
-/// Have all instances know which requests were on endpoints that ended.
+/// Publish to all instances which requests ran on endpoints that crashed.
 struct PublishCrashes
 {
     CrashUpdate update;
 };
 
-/// Ask for the permit to try a request under suspicion; Relay::trialAnswered() follows.
+/// Request the permit for a trial of a suspected request; answered by Relay::trialAnswered().
 struct RequestTrial
 {
     FlightId flight = 0;
     TrialRequest request;
 };
 
-/// The try that was permitted is over.
+/// Report the outcome of a permitted trial.
 struct FinishTrial
 {
     std::string digest;
@@ -153,35 +154,33 @@
 struct RelaySettings
 {
     std::string domain; ///< of this instance
-    double retryRatio = 0.15; ///< repeats for each request of this instance
-    double retrySlack = 20; ///< repeats beyond that in a window, all instances together
-    Duration retryWindow {10'000'000}; ///< the window
-    double streamReserve = 0.5; ///< share of the slack for streams that have begun
-    Duration queryAfterPause {250'000}; ///< shortest pause after which an engine is asked
-    double queryAfterGaps = 4; ///< or so many expected pauses
-    Duration queryInterval {350'000}; ///< between two questions to one engine
-    Duration suspectPause {120'000}; ///< a stream through a suspected engine that paused this long
-    Duration startTimeout {1'700'000}; ///< after which a request that has not begun is moved
-    Duration stallTimeout {1'200'000}; ///< pause after which a stream is moved without proof
-    Duration rerunTimeout {1'700'000}; ///< one that may have run but has not begun waits so long
-    /// A stream that has begun waits so long for a path: as long as callers do, who
-    /// leave after a pause of two seconds or more. Broken off a few tenths before
-    /// that, it is lost to a caller who was still there.
+    double retryRatio = 0.15; ///< retries for each request of this instance
+    double retrySlack = 20; ///< further retries in a window, shared by all instances
+    Duration retryWindow {10'000'000};
+    double streamReserve = 0.5; ///< share of the slack reserved for started streams
+    Duration queryAfterPause {250'000}; ///< shortest pause after which an engine is queried
+    double queryAfterGaps = 4; ///< the same as a multiple of the expected pause
+    Duration queryInterval {350'000}; ///< minimum time between two queries to one engine
+    Duration suspectPause {120'000}; ///< pause that moves a stream off a suspected engine
+    Duration startTimeout {1'700'000}; ///< until the first event; then the request is moved
+    Duration stallTimeout {1'200'000}; ///< pause that moves a stream without a suspected engine
+    Duration rerunTimeout {1'700'000}; ///< wait for a path without events, once it may have run
+    /// How long a started stream waits for a path. Callers leave after a pause of two seconds
+    /// or more; a stream truncated a few tenths earlier is lost to a caller that still waits.
     Duration resumeTimeout {2'500'000};
-    std::uint32_t maxPathChanges = 4; ///< of one attempt
-    Duration pathChangeTimeout {700'000}; ///< an order to change a path is answered by then
-    Duration callAttemptTimeout {400'000}; ///< an idempotent call is then tried elsewhere
-    double callWaitShare = 0.12; ///< share of the target latency that a call waits for an endpoint
+    std::uint32_t maxPathChanges = 4; ///< per attempt
+    Duration pathChangeTimeout {700'000}; ///< for the answer to an order to change the path
+    Duration callAttemptTimeout {400'000}; ///< then an idempotent call is sent elsewhere
+    double callWaitShare = 0.12; ///< wait for an endpoint, as a share of the target latency
     double streamWaitShare = 1.6; ///< the same for a stream that waits for a path
-    Duration maxTickGap {300'000}; ///< a longer time between ticks was not lived through
-    Duration retryAfter {700'000}; ///< told to those that are refused
-    std::uint32_t extraSends = 2; ///< sends beyond the attempts, after proof that nothing ran
-    /// A request that passes events for so long on one endpoint does not end endpoints
-    /// by being run.
+    Duration maxTickGap {300'000}; ///< a longer gap between ticks means the process was paused
+    Duration retryAfter {700'000}; ///< mean delay that refused callers are given
+    std::uint32_t extraSends = 2; ///< sends beyond maxAttempts when none may have run
+    /// A request that produces events on one endpoint for this long is not the cause of crashes.
     Duration harmlessAfter {1'000'000};
-    Duration trialRetryInterval {200'000}; ///< after an endpoint that was taken
-    /// Spread of choices for requests that an endpoint's end cut: together on the next
-    /// endpoint, none could be told from the one that ends endpoints.
+    Duration trialRetryInterval {200'000}; ///< after a trial was refused for a busy endpoint
+    /// Cost noise for requests interrupted by a crash. It spreads them over the endpoints: if
+    /// all went to the same one, the request that causes crashes could not be identified.
     double rerouteSpread = 1;
     std::uint64_t seed = 1;
 };
@@ -198,13 +197,13 @@
     std::uint64_t resent = 0;
     std::uint64_t budgetExhausted = 0;
     std::uint64_t pathsChanged = 0;
-    std::uint64_t crashes = 0; ///< ends of endpoints under requests that were told to others
-    std::uint64_t quarantined = 0; ///< requests that were not sent, or not again
-    std::uint64_t rateLimitSkips = 0; ///< choices that left an endpoint out for its rate limit
+    std::uint64_t crashes = 0; ///< published crash records
+    std::uint64_t quarantined = 0; ///< requests refused because of crashes
+    std::uint64_t rateLimitSkips = 0; ///< choices that excluded an endpoint for its rate limit
 };
 
-/// The state machine of all whole requests of one instance. No I/O: events and
-/// the present time go in, actions come out.
+/// The state machine of all forwarded requests of one instance. It does no I/O: events and
+/// the current time go in, actions come out.
 class Relay
 {
 public:
@@ -216,71 +215,72 @@
     void attemptFailed(FlightId id, std::uint32_t attempt, AttemptFailure failure, Time now,
                        RelayActions &actions);
 
-    /// The head of a stream's answer, or the whole answer to a call.
-    /// \return whether a stream's events may be passed on.
+    /// Handles the head of a stream's answer, or the complete answer to a call.
+    /// \return whether the events of a stream may be forwarded.
     bool answered(FlightId id, std::uint32_t attempt, const AnswerHead &head, Time now,
                   RelayActions &actions);
 
-    /// Whole events went to the caller; \a lastEvent is the id of the last one.
+    /// Complete events were forwarded to the caller; \a lastEvent is the id of the last one.
     void eventsPassed(FlightId id, std::uint32_t attempt, std::optional<std::uint64_t> lastEvent,
                       Time now, RelayActions &actions);
 
-    /// The engine ended the stream as complete.
+    /// The engine marked the stream as complete.
     void streamCompleted(FlightId id, std::uint32_t attempt, Time now, RelayActions &actions);
     void callerGone(FlightId id, Time now, RelayActions &actions);
 
-    /// The first engine answered a ChangePath, or did not; \a faultyAddress: the engine
-    /// that has no room or not the part, when it was told.
+    /// Handles the reply to a ChangePath, or its absence. \a faultyAddress is the engine that
+    /// lacks memory or the layers, if the reply names it.
     void pathChanged(FlightId id, std::uint32_t attempt, PathReply reply,
                      std::string_view faultyAddress, Time now, RelayActions &actions);
 
-    /// An engine answered QueryEngine: \a stalledAt are addresses of engines that
-    /// do not answer it.
+    /// An engine answered a QueryEngine; \a stalledAt lists the addresses of engines that do
+    /// not answer it.
     void queryAnswered(const std::string &endpoint, const std::vector<std::string> &stalledAt,
                        double slowdown, Time now, RelayActions &actions);
 
-    /// An engine did not answer QueryEngine; \a refused: nobody listens at its address.
+    /// An engine did not answer a QueryEngine; \a refused: the connection was refused.
     void queryFailed(const std::string &endpoint, Time now, RelayActions &actions,
                      bool refused = false);
 
-    /// The endpoint answered a question that was sent at \a asked, whatever it said.
-    void endpointAnswered(const std::string &endpoint, Time asked)
+    /// The endpoint sent any answer to a query that was sent at \a queriedAt.
+    void endpointAnswered(const std::string &endpoint, Time queriedAt)
     {
-        m_quarantine.endpointAnswered(endpoint, asked);
+        m_quarantine.endpointAnswered(endpoint, queriedAt);
     }
 
-    /// All that instances told each other about endpoints that ended under requests.
+    /// Replaces the crash records published by all instances.
     void setSharedCrashes(const std::vector<CrashRecord> &all) { m_quarantine.setShared(all); }
 
-    /// The answer to RequestTrial with \a request.
+    /// Handles the answer to a RequestTrial with \a request.
     void trialAnswered(FlightId id, const TrialRequest &request, const TrialAnswer &answer,
                        Time now, RelayActions &actions);
 
-    /// This process stood still for an unknown time: permits may have run out.
+    /// Treats all permits as expired, after this process was suspended for an unknown time.
     void expireTrials();
     void setFleet(FleetPtr fleet, Time now, RelayActions &actions);
     void tick(Time now, RelayActions &actions);
 
-    /// States of engines, as this or another instance asked for them.
+    /// Applies states of engines that this or another instance polled.
     void applyEngineReports(const EngineReports &reports, Time now, RelayActions &actions);
 
-    /// How many instances share the endpoints of this domain, and in all.
+    /// Sets how many instances share the endpoints of this domain, and of all domains.
     void setInstances(std::size_t inDomain, std::size_t all, Time now);
 
-    /// Which instances share the rate limits of endpoints, this one under the name \a self;
-    /// \a clockOffset: the time that they all know less the present time that is passed here.
+    /// Sets the instances that share the rate limits of endpoints; \a self is the name of this
+    /// one. \a clockOffset is the clock that they share minus the clock of \a now.
     void shareLimits(std::span<const PeerInstance> all, const std::string &self,
                      Duration clockOffset, Time now);
 
-    /// Repeats for each request of this instance, and beyond that in a window by all.
+    /// Sets RelaySettings::retryRatio and RelaySettings::retrySlack.
     void setRetries(double ratio, double slack);
 
     // Queries
 
-    /// Whether the request may still be sent: asked again right before its bytes
-    /// leave, since a process may have been paused in between.
+    /// Whether an attempt may still be sent. To be called right before its bytes are sent,
+    /// since the process may have been paused after the decision.
     bool maySend(FlightId id, std::uint32_t attempt, Time now) const;
-    /// The last event of the flight that went to the caller.
+
+    /// The id of the last event that was forwarded to the caller.
     std::optional<std::uint64_t> lastEvent(FlightId id) const;
     std::size_t flights() const { return m_flights.size(); }
     const RelayCounts &counts() const { return m_counts; }
@@ -291,17 +291,17 @@
 private:
     enum class State : std::uint8_t { Waiting, Sent, Streaming };
 
-    /// The permit of a flight whose request is under suspicion.
+    /// The trial permit of a flight whose request is suspected.
     struct Trial
     {
         enum class State : std::uint8_t { None, Requested, Granted, Sent };
 
         State state = State::None;
-        std::string endpoint; ///< where the request runs first
-        std::optional<PathPart> first; ///< the same with its layers, of a layered model
+        std::string endpoint; ///< first endpoint of the trial
+        std::optional<PathPart> first; ///< the same with its layers, for a layered model
         Time requestedAt {};
-        Time until {}; ///< it lasts
-        std::set<std::string> busyEndpoints; ///< endpoints where something else was tried
+        Time until {}; ///< expiry of the permit
+        std::set<std::string> busyEndpoints; ///< with a trial of another request
     };
 
     struct Flight
@@ -310,25 +310,25 @@
         State state = State::Waiting;
         Time deadline {};
         Time waitingSince {};
-        std::uint32_t attempt = 0; ///< number of the present one
+        std::uint32_t attempt = 0; ///< number of the current attempt
         std::uint32_t sends = 0;
-        std::vector<std::string> mayHaveRunAt; ///< endpoints that may have run it
+        std::vector<std::string> mayHaveRunAt; ///< endpoints that may have executed the request
         std::vector<PathPart> path;
         std::string endpoint; ///< first engine or plain endpoint
         std::string domain;
         Time sentAt {};
-        Time progressAt {}; ///< last event, or the send
+        Time progressAt {}; ///< of the last event, or of the send
         Duration expectedEventInterval {};
         Duration expectedFirstEvent {};
-        std::optional<Time> pathChangeSentAt; ///< a ChangePath that is not yet answered
+        std::optional<Time> pathChangeSentAt; ///< set while a ChangePath is unanswered
         std::uint32_t pathChanges = 0; ///< of this attempt
-        bool eventsForwarded = false; ///< events went to the caller
-        std::optional<Time> firstEventAt; ///< of the present attempt
-        bool provenHarmless = false; ///< on some endpoint, so that it ends none by being run
-        bool failedEarly = false; ///< an endpoint broke it off before it ran well
-        bool owesRetry = false; ///< its next send takes a repeat that was not there yet
+        bool eventsForwarded = false;
+        std::optional<Time> firstEventAt; ///< of the current attempt
+        bool provenHarmless = false; ///< ran for harmlessAfter, so it does not cause crashes
+        bool failedEarly = false; ///< an endpoint interrupted it before it was provenHarmless
+        bool owesRetry = false; ///< its next send must be paid from the retry budget
         std::optional<std::uint64_t> lastEvent;
-        std::set<std::string> avoid; ///< endpoints that failed it
+        std::set<std::string> avoid; ///< endpoints where it failed
         Trial trial;
         std::string lastReason;
     };
@@ -360,7 +360,7 @@
     bool withdrawRetry(const Flight &flight, Time now);
     bool sendLimitReached(const Flight &flight) const;
 
-    // Requests under which endpoints end
+    // Requests that may cause crashes
     void recordBroken(Flight &flight, Time now, RelayActions &actions);
     void recordAbandoned(const Flight &flight, Time now);
     void recordStalled(Flight &flight, const std::string &endpoint, Time now);
@@ -381,7 +381,7 @@
 
     bool worthMoving(const Flight &flight, Time now);
 
-    /// How a flight that is given up now ends; \a ran: where it may have run.
+    /// The outcome if the flight finishes now; \a ifMayHaveRun: if it may have been executed.
     static FlightOutcome outcomeOf(const Flight &flight, FlightOutcome ifMayHaveRun);
     void finish(FlightId id, FlightOutcome outcome, std::string reason, RelayActions &actions,
                 std::optional<Duration> retryAfter = {});
@@ -409,7 +409,7 @@
     FleetPtr m_fleet;
     FlightMap m_flights;
     std::map<std::string, RetryWindow, std::less<>> m_budgets; ///< by service
-    std::deque<std::pair<Time, std::size_t>> m_instanceCounts; ///< of the last window
+    std::deque<std::pair<Time, std::size_t>> m_instanceCounts; ///< in the last window
     std::map<std::string, Time, std::less<>> m_queriedAt;
     Time m_lastTick {};
     FlightId m_nextFlight = 1;
--- a/src/include/balsamloft/requestdigest.h
+++ b/src/include/balsamloft/requestdigest.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tells whether two requests ask for the same, whatever their ids.
+/// Identifies requests with equal content, whatever their ids.
 
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace balsamloft {
 
-/// What a request asks for, and who asks.
+/// The parts of a request that determine its digest.
 struct RequestContent
 {
     std::string_view team; ///< empty: an anonymous caller
@@ -18,9 +18,8 @@
     std::string_view body;
 };
 
-/// 128 bits of a cryptographic hash in hexadecimal digits: requests with different
-/// content have different digests, also when a caller tries to make them alike, and
-/// the content cannot be read from it.
+/// Returns 128 bits of a cryptographic hash in hexadecimal digits. Callers cannot construct
+/// requests with different content and equal digests, nor recover the content from a digest.
 std::string requestDigest(const RequestContent &content);
 
 } // namespace balsamloft
--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -1,5 +1,6 @@
 /// \file
-/// Permits to try a request under suspicion, of which the fleet gives one at a time.
+/// Permits for trials of suspected requests. The fleet grants one per request and one per
+/// endpoint at a time.
 
 #pragma once
 
@@ -12,75 +13,76 @@
 
 namespace balsamloft {
 
-/// A row of the table that holds who tries what: one for the content of the request, one
-/// for the endpoint.
+/// A row of the store's table of trials. Each trial has two: one for the content of the
+/// request, one for the endpoint.
 struct TrialRow
 {
-    std::string key; ///< see contentTrialKey(), endpointTrialKey()
-    std::uint64_t version = 0; ///< 0: there is none
-    std::string
-        counterpart; ///< the content's endpoint, or the endpoint's content; empty: it is over
-    std::string holder; ///< process that was permitted to try
-    Time until {}; ///< on the store's clock
-    std::uint32_t trials = 0; ///< of the content while it is as good as found out
+    std::string key; ///< see contentTrialKey() and endpointTrialKey()
+    std::uint64_t version = 0; ///< 0: the row does not exist
+    /// Of a content row: the endpoint of the trial. Of an endpoint row: the digest of the
+    /// content. Empty: the trial has finished.
+    std::string counterpart;
+    std::string holder; ///< process that holds the permit
+    Time until {}; ///< expiry of the permit, on the store's clock
+    std::uint32_t trials = 0; ///< of the content, see TrialRequest::limited
 };
 
 std::string contentTrialKey(std::string_view digest);
 std::string endpointTrialKey(std::string_view endpoint);
 
-/// Whether rows with that key are TrialRow.
+/// Whether \a key is the key of a TrialRow; the table also holds crash records.
 bool isTrialKey(std::string_view key);
 
-/// What a flight wants to try.
+/// Asks for the permit to run a suspected request on an endpoint.
 struct TrialRequest
 {
     std::string digest; ///< of the request's content
-    std::string endpoint; ///< where it would run first
-    bool limited = false; ///< only few tries are left to it
+    std::string endpoint; ///< the first one that would run it
+    bool limited = false; ///< TrialSettings::maxTrials applies: it is almost quarantined
 };
 
-/// Rows to be written in one transaction, if the rows checked are still at these versions.
+/// Rows to be written in one transaction, provided that they still have the given versions.
 struct TrialChange
 {
-    std::vector<TrialRow> rows; ///< versions are those to be checked
-    std::vector<TrialRow> removed; ///< the same
-    std::optional<CrashRecord> crash; ///< an end that nobody told; `at` on the store's clock
+    std::vector<TrialRow> rows; ///< with the versions to be checked
+    std::vector<TrialRow> removed; ///< with the versions to be checked
+    std::optional<CrashRecord> crash; ///< not yet published; `at` is on the store's clock
 };
 
-/// What became of a TrialRequest.
+/// The answer to a TrialRequest.
 struct TrialAnswer
 {
     bool granted = false;
-    Duration validFor {}; ///< the permit, from the moment in which it was asked for
-    bool endpointBusy = false; ///< something else is tried there
-    Duration wait {}; ///< until it is worth asking again
+    Duration validFor {}; ///< lifetime of the permit, from the time of the request
+    bool endpointBusy = false; ///< another request is on trial at the endpoint
+    Duration wait {}; ///< before the next request for a permit
 };
 
-/// How a try ended.
+/// How a trial finished.
 enum class TrialOutcome : std::uint8_t {
     Succeeded,
-    NotSent, ///< it reached no endpoint
-    Inconclusive, ///< it was rejected: nothing is known
+    NotSent, ///< no endpoint received the request
+    Inconclusive, ///< the request was rejected, or failed without a crash
 };
 
 /// Settings of TrialPermits.
 struct TrialSettings
 {
     std::string holder; ///< unique to this process
-    Duration validFor {5'000'000};
-    /// A holder that lives has told by then how its try ended. Longer than it takes until
-    /// a dead endpoint is no longer listed, so that the end of an endpoint shows.
+    Duration validFor {5'000'000}; ///< lifetime of a permit
+    /// After expiry, the time by which a live holder has reported the outcome. It is longer than
+    /// it takes to delist a crashed endpoint, so that a crash is detected.
     Duration margin {5'000'000};
     Duration retention {600'000'000}; ///< see QuarantineSettings
-    std::uint32_t maxTrials = 3; ///< of those that are limited
-    Duration retryInterval {1'000'000}; ///< after the store gave no answer
+    std::uint32_t maxTrials = 3; ///< per content, if limited
+    Duration retryInterval {1'000'000}; ///< minimum wait before the next request for a permit
 };
 
-/// Decides on permits by the rows that all instances know, and by conditions on them.
+/// Grants permits by conditional writes to rows that all instances share.
 ///
-/// Were it for each instance to decide, a request that ends endpoints would be tried by
-/// hundreds at the moment from which it may be tried. The row outlasts its holder: when
-/// that one died in the try and the endpoint is gone, the end is counted all the same.
+/// If each instance decided alone, hundreds of them would run a request that crashes endpoints
+/// as soon as trials of it are allowed. The row remains when its holder crashes: if the
+/// endpoint is gone too, its crash is still recorded.
 class TrialPermits
 {
 public:
@@ -88,28 +90,29 @@
 
     // Commands
 
-    /// All rows, and all ends that instances told each other, as the store has them now.
+    /// Replaces the rows and the published crash records with the current ones of the store.
     void setRows(std::vector<TrialRow> rows, std::span<const CrashRecord> crashes);
 
-    /// The transaction of \a change was answered. \a committed: with the version \a version.
-    /// \a found: the rows as they are when a condition failed.
+    /// Applies the result of the transaction that wrote \a change. If it was committed, the
+    /// rows now have \a version; if a condition failed, \a found holds the current rows.
     void recordWrite(const TrialChange &change, bool committed, std::uint64_t version,
                      std::span<const TrialRow> found);
 
     // Queries
 
-    /// What is to be written for \a request, or why it is refused.
+    /// Returns the rows to be written to grant \a request, or a refusal.
     std::variant<TrialChange, TrialAnswer> decide(const TrialRequest &request,
                                                   const FleetSnapshot &fleet, Time storeNow) const;
 
-    /// The answer once the transaction was: \a asked is what decide() gave.
-    TrialAnswer answer(const TrialRequest &request, const TrialChange &asked, bool committed,
+    /// Returns the answer to \a request after the transaction of \a change, see decide().
+    TrialAnswer answer(const TrialRequest &request, const TrialChange &change, bool committed,
                        Time storeNow) const;
 
-    /// What is to be written when an own try is over; nothing when it is no longer held.
-    std::optional<TrialChange> release(const std::string &digest, TrialOutcome end) const;
+    /// Returns the rows to be written when a trial of this process finished; nothing if its
+    /// permit expired and was granted to another process.
+    std::optional<TrialChange> release(const std::string &digest, TrialOutcome outcome) const;
 
-    /// Rows that no try needs any more.
+    /// Keys of rows that can be deleted.
     std::vector<std::string> expiredKeys(Time storeNow) const;
 
     const std::map<std::string, TrialRow, std::less<>> &rows() const { return m_rows; }
--- a/src/libbalsamloft/eventsplitter.cpp
+++ b/src/libbalsamloft/eventsplitter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Length of the first event of \a text with its blank line; 0: not whole yet.
+/// Length of the first event of \a text including the blank line; 0 if it is incomplete.
 std::size_t eventLength(std::string_view text)
 {
     const std::size_t plain = text.find("\n\n");
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -17,7 +17,7 @@
 void Quarantine::add(const std::string &digest, const std::string &endpoint, Crash crash)
 {
     m_requests[digest].insert_or_assign(endpoint, crash);
-    m_onEndpoint[endpoint].insert(digest);
+    m_digestsByEndpoint[endpoint].insert(digest);
 }
 
 void Quarantine::remove(const std::string &digest, const std::string &endpoint)
@@ -25,14 +25,16 @@
     const auto it = m_requests.find(digest);
     if (it != m_requests.end() && it->second.erase(endpoint) > 0 && it->second.empty())
         m_requests.erase(it);
-    const auto on = m_onEndpoint.find(endpoint);
-    if (on != m_onEndpoint.end() && on->second.erase(digest) > 0 && on->second.empty())
-        m_onEndpoint.erase(on);
+    const auto digests = m_digestsByEndpoint.find(endpoint);
+    if (digests != m_digestsByEndpoint.end() && digests->second.erase(digest) > 0
+        && digests->second.empty())
+        m_digestsByEndpoint.erase(digests);
 }
 
-/// Who is suspected of one end alone makes room, the oldest first: a caller that sends
-/// ever new requests beside ends must not push out those under which several endpoints
-/// ended, nor keep a new one from being suspected.
+/// Evicts the oldest request with a single crash if the table is full. A caller that sends
+/// many different requests to crashing endpoints can neither evict requests with several
+/// crashes nor prevent new ones from being stored.
+/// \return whether there is space for another request.
 bool Quarantine::evictOldest()
 {
     if (m_requests.size() < m_settings.maxDigests)
@@ -85,10 +87,10 @@
 
 void Quarantine::clearUnconfirmed(const std::string &endpoint, Time aliveAt, bool includingBroken)
 {
-    const auto on = m_onEndpoint.find(endpoint);
-    if (on == m_onEndpoint.end())
+    const auto digests = m_digestsByEndpoint.find(endpoint);
+    if (digests == m_digestsByEndpoint.end())
         return;
-    for (const std::string &digest : std::set<std::string>(on->second)) {
+    for (const std::string &digest : std::set<std::string>(digests->second)) {
         const Crash &crash = m_requests[digest][endpoint];
         if (crash.stage == Stage::Unconfirmed && aliveAt >= crash.clearedIfAliveAt
             && (includingBroken || crash.interruption == Interruption::Abandoned))
@@ -96,9 +98,9 @@
     }
 }
 
-void Quarantine::endpointAnswered(const std::string &endpoint, Time asked)
+void Quarantine::endpointAnswered(const std::string &endpoint, Time queriedAt)
 {
-    clearUnconfirmed(endpoint, asked, true);
+    clearUnconfirmed(endpoint, queriedAt, true);
 }
 
 void Quarantine::endpointSentData(const std::string &endpoint, Time now)
@@ -106,16 +108,18 @@
     clearUnconfirmed(endpoint, now, false);
 }
 
-/// What is in doubt there since \a last or before ended with the endpoint.
-void Quarantine::confirmCrashes(const std::string &endpoint, Time endedAt, Time last)
+/// Confirms the crashes of all attempts interrupted at the endpoint up to
+/// \a latestInterruption.
+void Quarantine::confirmCrashes(const std::string &endpoint, Time crashedAt,
+                                Time latestInterruption)
 {
-    const auto on = m_onEndpoint.find(endpoint);
-    if (on == m_onEndpoint.end())
+    const auto digests = m_digestsByEndpoint.find(endpoint);
+    if (digests == m_digestsByEndpoint.end())
         return;
-    for (const std::string &digest : on->second) {
+    for (const std::string &digest : digests->second) {
         Crash &crash = m_requests[digest][endpoint];
-        if (crash.stage == Stage::Unconfirmed && crash.at <= last)
-            crash = {endedAt, Stage::Confirmed, Interruption::Broken, true, {}};
+        if (crash.stage == Stage::Unconfirmed && crash.at <= latestInterruption)
+            crash = {crashedAt, Stage::Confirmed, Interruption::Broken, true, {}};
     }
 }
 
@@ -131,10 +135,10 @@
 
 void Quarantine::endpointDelisted(const std::string &endpoint, Time now)
 {
-    const auto on = m_onEndpoint.find(endpoint);
-    if (on == m_onEndpoint.end())
+    const auto digests = m_digestsByEndpoint.find(endpoint);
+    if (digests == m_digestsByEndpoint.end())
         return;
-    for (const std::string &digest : std::set<std::string>(on->second)) {
+    for (const std::string &digest : std::set<std::string>(digests->second)) {
         const Crash &crash = m_requests[digest][endpoint];
         if (crash.stage == Stage::Unconfirmed && crash.interruption != Interruption::Broken)
             remove(digest, endpoint);
@@ -162,28 +166,28 @@
 
 bool Quarantine::wasObservedHere(const std::string &digest, const std::string &endpoint) const
 {
-    const auto under = m_requests.find(digest);
-    if (under == m_requests.end())
+    const auto records = m_requests.find(digest);
+    if (records == m_requests.end())
         return false;
-    const auto crash = under->second.find(endpoint);
-    return crash != under->second.end() && crash->second.observedHere;
+    const auto crash = records->second.find(endpoint);
+    return crash != records->second.end() && crash->second.observedHere;
 }
 
 void Quarantine::setShared(const std::vector<CrashRecord> &all)
 {
     m_sharedCount = all.size();
-    std::set<std::pair<std::string_view, std::string_view>> told;
+    std::set<std::pair<std::string_view, std::string_view>> published;
     for (const CrashRecord &each : all)
-        told.emplace(each.digest, each.endpoint);
+        published.emplace(each.digest, each.endpoint);
     std::vector<CrashRecord> gone;
     for (const auto &[digest, crashes] : m_requests)
         for (const auto &[endpoint, crash] : crashes)
-            if (crash.stage == Stage::Shared && !told.contains({digest, endpoint}))
+            if (crash.stage == Stage::Shared && !published.contains({digest, endpoint}))
                 gone.push_back({digest, endpoint, crash.at});
     for (const CrashRecord &each : gone)
         remove(each.digest, each.endpoint);
     for (const CrashRecord &each : all) {
-        // Who saw it come through since knows better than who saw it stand beside an end.
+        // A success after the crash is stronger evidence than a record of the crash.
         const auto success = m_successes.find(each.digest);
         if (success != m_successes.end() && success->second >= each.at)
             m_retracted.push_back(each);
@@ -201,9 +205,10 @@
 {
     if (crash.stage != Stage::Confirmed)
         return false;
-    const auto ended = std::count_if(crashes.begin(), crashes.end(),
-                                     [&](const auto &each) { return isCounted(each.second, now); });
-    return ended > 1
+    const auto confirmedCount =
+        std::count_if(crashes.begin(), crashes.end(),
+                      [&](const auto &each) { return isCounted(each.second, now); });
+    return confirmedCount > 1
            || (now - crash.at >= m_settings.publishDelay && m_sharedCount < m_settings.maxShared);
 }
 
@@ -222,8 +227,8 @@
     return update;
 }
 
-/// What others were told and no longer counts is taken back by whoever has to write
-/// anyway: while no endpoint ends, nothing is written.
+/// Removes expired records. Published ones are only retracted along with another change, so
+/// that nothing is written to the store while no endpoint crashes.
 void Quarantine::removeExpired(Time now, CrashUpdate &update)
 {
     std::vector<CrashRecord> expired;
@@ -258,47 +263,51 @@
     const auto it = m_requests.find(digest);
     if (it == m_requests.end())
         return false;
-    const auto open = std::count_if(it->second.begin(), it->second.end(), [&](const auto &each) {
-        const Crash &crash = each.second;
-        const bool silent = crash.interruption == Interruption::Stalled
-                            && now - crash.at >= m_settings.stallQueryWindow;
-        return crash.stage == Stage::Unconfirmed && crash.interruption != Interruption::Abandoned
-               && !silent;
-    });
-    return open > 0 && static_cast<std::size_t>(open) + crashes(digest, now) > 1;
-}
-
-/// Whether another request was there too that may just as well be the guilty one. By
-/// more ends than that nobody is found guilty: one of them may have been by chance.
+    const auto unconfirmed =
+        std::count_if(it->second.begin(), it->second.end(), [&](const auto &each) {
+            const Crash &crash = each.second;
+            const bool timedOut = crash.interruption == Interruption::Stalled
+                                  && now - crash.at >= m_settings.stallQueryWindow;
+            return crash.stage == Stage::Unconfirmed
+                   && crash.interruption != Interruption::Abandoned && !timedOut;
+        });
+    return unconfirmed > 0 && static_cast<std::size_t>(unconfirmed) + crashes(digest, now) > 1;
+}
+
+/// Whether another request was on the crashed endpoint and has enough crashes to be the cause.
+/// It does not matter which of the two has more crashes: one may be a coincidence.
 bool Quarantine::explainedByOther(const std::string &digest, const std::string &endpoint,
                                   Time now) const
 {
-    const auto on = m_onEndpoint.find(endpoint);
-    return on != m_onEndpoint.end()
-           && std::any_of(on->second.begin(), on->second.end(), [&](const std::string &other) {
-                  return other != digest && isCounted(m_requests.at(other).at(endpoint), now)
-                         && crashes(other, now) >= m_settings.crashesToQuarantine;
-              });
+    const auto digests = m_digestsByEndpoint.find(endpoint);
+    return digests != m_digestsByEndpoint.end()
+           && std::any_of(
+               digests->second.begin(), digests->second.end(), [&](const std::string &other) {
+                   return other != digest && isCounted(m_requests.at(other).at(endpoint), now)
+                          && crashes(other, now) >= m_settings.crashesToQuarantine;
+               });
 }
 
-/// A request that many callers send is on several endpoints when these end at once.
-bool Quarantine::succeededBefore(const std::string &digest, const Crashes &under) const
+/// Whether the request succeeded after one of the crashes or at most successWindow before it.
+/// A request that many callers send is on several endpoints when these crash together for
+/// another reason.
+bool Quarantine::succeededBefore(const std::string &digest, const Crashes &records) const
 {
     const auto success = m_successes.find(digest);
     return success != m_successes.end()
-           && std::any_of(under.begin(), under.end(), [&](const auto &each) {
+           && std::any_of(records.begin(), records.end(), [&](const auto &each) {
                   return each.second.at - success->second < m_settings.successWindow;
               });
 }
 
-bool Quarantine::isConfirmedCause(const std::string &digest, const Crashes &under, Time now) const
+bool Quarantine::isConfirmedCause(const std::string &digest, const Crashes &records, Time now) const
 {
     const std::size_t count = crashes(digest, now);
     if (count >= m_settings.crashesToForceQuarantine)
         return true;
-    if (succeededBefore(digest, under))
+    if (succeededBefore(digest, records))
         return false;
-    const auto unexplained = std::count_if(under.begin(), under.end(), [&](const auto &each) {
+    const auto unexplained = std::count_if(records.begin(), records.end(), [&](const auto &each) {
         return isCounted(each.second, now) && !explainedByOther(digest, each.first, now);
     });
     return static_cast<std::size_t>(unexplained) >= m_settings.crashesToQuarantine;
@@ -313,8 +322,9 @@
     return last;
 }
 
-/// Judged by what one instance saw alone, a request that stood beside looks like the
-/// one that another instance sent.
+/// Time until the records of all instances have been received. From the records of one
+/// instance alone, a harmless request looks like the cause if another instance sent the
+/// request that caused the crashes.
 Duration Quarantine::deferredFor(const std::string &digest, Time now) const
 {
     if (crashes(digest, now) < m_settings.crashesToQuarantine)
@@ -322,11 +332,11 @@
     return std::max(Duration {}, lastCrash(digest) + m_settings.propagationDelay - now);
 }
 
-/// Whether other instances saw an endpoint end under the request: then copies of it come
-/// to several, and each would take one more endpoint.
-bool Quarantine::observedElsewhere(const Crashes &under, Time now) const
+/// Whether other instances recorded a crash with the request. If so, several instances receive
+/// copies of it, and each could crash one more endpoint.
+bool Quarantine::observedElsewhere(const Crashes &records, Time now) const
 {
-    return std::any_of(under.begin(), under.end(), [&](const auto &each) {
+    return std::any_of(records.begin(), records.end(), [&](const auto &each) {
         return isCounted(each.second, now) && !each.second.observedHere;
     });
 }
@@ -338,12 +348,13 @@
         return Verdict::Allowed;
     if (deferredFor(digest, now) > Duration {})
         return Verdict::Deferred;
-    const Crashes &under = m_requests.at(digest);
-    if (count >= m_settings.crashesToQuarantine && isConfirmedCause(digest, under, now))
+    const Crashes &records = m_requests.at(digest);
+    if (count >= m_settings.crashesToQuarantine && isConfirmedCause(digest, records, now))
         return Verdict::Quarantined;
-    const bool suspect = count >= m_settings.crashesToRequireTrial
-                         || (observedElsewhere(under, now) && !succeededBefore(digest, under));
-    return suspect ? Verdict::TrialOnly : Verdict::Allowed;
+    const bool suspected =
+        count >= m_settings.crashesToRequireTrial
+        || (observedElsewhere(records, now) && !succeededBefore(digest, records));
+    return suspected ? Verdict::TrialOnly : Verdict::Allowed;
 }
 
 Duration Quarantine::blockedFor(const std::string &digest, Time now) const
@@ -363,7 +374,7 @@
 std::vector<std::string> Quarantine::unconfirmedEndpoints(Time now) const
 {
     std::vector<std::string> endpoints;
-    for (const auto &each : m_onEndpoint)
+    for (const auto &each : m_digestsByEndpoint)
         if (std::any_of(each.second.begin(), each.second.end(), [&](const std::string &digest) {
                 const Crash &crash = m_requests.at(digest).find(each.first)->second;
                 return crash.stage == Stage::Unconfirmed && now >= crash.clearedIfAliveAt;
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// Statuses with which an endpoint refuses before it runs anything.
+/// An endpoint sends this status before it executes anything.
 constexpr int Misdirected = 421;
 constexpr int FirstServerError = 500;
 
-/// A refusal that took this long was no lack of room: the engine at fault is dead.
+/// A rejection after this time is not due to a lack of memory: the faulty engine is dead.
 constexpr Duration StalledRejection {1'000'000};
 
-/// Share of the slack that an earlier process of this instance may just have spent.
+/// Share of the slack that a previous process of this instance may just have used.
 constexpr double PreviousSlackUse = 0.8;
 
-/// Instances that share the slack, until their number is known.
+/// Instances assumed to share the slack until their number is known.
 constexpr std::size_t AssumedInstances = 8;
 
 } // namespace
@@ -47,22 +47,22 @@
     return m_budgets.try_emplace(name, settings).first->second;
 }
 
-/// Those who left had their share in the same window: were it given out again at
-/// once, a rolling restart would let all together spend it twice. So the slack
-/// is divided by the most instances that were known in the last window.
+/// Divides the slack by the maximum number of instances in the last window. An instance that
+/// left may have used its share in that window. If the others received it at once, a rolling
+/// restart would let the fleet spend the slack twice.
 double Relay::slackShare() const
 {
-    std::size_t most = m_instanceCounts.empty() ? AssumedInstances : 1;
+    std::size_t maxCount = m_instanceCounts.empty() ? AssumedInstances : 1;
     for (const auto &[at, count] : m_instanceCounts)
-        most = std::max(most, count);
-    return m_settings.retrySlack / static_cast<double>(most);
+        maxCount = std::max(maxCount, count);
+    return m_settings.retrySlack / static_cast<double>(maxCount);
 }
 
 void Relay::setInstances(std::size_t inDomain, std::size_t all, Time now)
 {
     m_engines.setSharingInstances(static_cast<double>(inDomain));
     m_engines.setInstances(static_cast<double>(all));
-    // The last count before the window still held in its beginning.
+    // Keeps one count from before the window: it was valid at the beginning of the window.
     while (m_instanceCounts.size() > 1
            && now - m_instanceCounts[1].first > m_settings.retryWindow * 6 / 5)
         m_instanceCounts.pop_front();
@@ -126,7 +126,7 @@
            * part.layers.length();
 }
 
-/// Endpoints of the flight's service to which nothing may be sent now for their rate limits.
+/// Endpoints of the flight's service that are at their rate limits now.
 std::set<std::string> Relay::rateLimitedEndpoints(const Flight &flight, Time now)
 {
     std::set<std::string> rateLimited = m_limits.closed(now);
@@ -138,7 +138,7 @@
     return rateLimited;
 }
 
-/// A path, without the engines \a without if there is one.
+/// Finds a path that avoids the engines \a without if possible.
 std::optional<EnginePath> Relay::findPath(const Flight &flight,
                                           const std::set<std::string> &without, Time now)
 {
@@ -155,7 +155,7 @@
     query.excludedAsFirst = &rateLimited;
     auto path = m_chooser.choose(*m_fleet, service(flight), m_engines, query, now, m_random);
     if (!path && !without.empty()) {
-        // Rather an engine that failed it once than none at all.
+        // An engine where the request failed once is better than none.
         query.without = nullptr;
         path = m_chooser.choose(*m_fleet, service(flight), m_engines, query, now, m_random);
     }
@@ -170,7 +170,7 @@
         return false;
     }
     if (path->full) {
-        flight.lastReason = "no room on any path";
+        flight.lastReason = "no free memory on any path";
         return false;
     }
     send.endpoint = path->parts.front().endpoint;
@@ -191,11 +191,11 @@
 double Relay::endpointCost(const FleetEndpoint &endpoint, const std::set<std::string> &avoid,
                            Time now)
 {
-    const EngineEstimate *belief = m_engines.find(endpoint.id);
+    const EngineEstimate *estimate = m_engines.find(endpoint.id);
     std::uniform_real_distribution<double> noise(0, 0.1);
     double cost = noise(m_random) + 4 * m_engines.failureShare(endpoint.id, now);
-    if (belief)
-        cost += static_cast<double>(belief->streams) / std::max(1U, endpoint.slots)
+    if (estimate)
+        cost += static_cast<double>(estimate->streams) / std::max(1U, endpoint.slots)
                 * m_engines.scale(endpoint.domain);
     if (endpoint.domain != m_settings.domain)
         cost += 0.4;
@@ -206,7 +206,7 @@
     return cost;
 }
 
-/// Endpoints that failed the flight, or where something else is tried.
+/// Endpoints where the flight failed, and those with a trial of another request.
 std::set<std::string> Relay::excludedEndpoints(const Flight &flight)
 {
     std::set<std::string> all = flight.avoid;
@@ -226,10 +226,10 @@
     double bestCost = 0;
     const std::set<std::string> avoid = excludedEndpoints(flight);
     const std::set<std::string> rateLimited = rateLimitedEndpoints(flight, now);
-    const bool bound = flight.trial.state == Trial::State::Granted;
+    const bool boundToTrial = flight.trial.state == Trial::State::Granted;
     for (const FleetEndpoint &each : m_fleet->endpoints) {
         if (each.service != service(flight).name || each.draining
-            || (bound && each.id != flight.trial.endpoint) || rateLimited.contains(each.id))
+            || (boundToTrial && each.id != flight.trial.endpoint) || rateLimited.contains(each.id))
             continue;
         const double cost = endpointCost(each, avoid, now);
         if (!best || cost < bestCost) {
@@ -238,9 +238,9 @@
         }
     }
     if (!best || avoid.contains(best->id)) {
-        flight.lastReason = best                  ? "all endpoints failed it"
-                            : rateLimited.empty() ? "no endpoint"
-                                                  : "no endpoint within its rate limit";
+        flight.lastReason = best                  ? "the request failed at all endpoints"
+                            : rateLimited.empty() ? "no endpoint available"
+                                                  : "all endpoints are at their rate limits";
         return false;
     }
     send.endpoint = best->id;
@@ -266,7 +266,7 @@
     recordTransfers(flight, now);
 }
 
-/// What the request's prompt and answer take of the pipes between domains.
+/// Records the use of the links between domains by the request's prompt and answer.
 void Relay::recordTransfers(const Flight &flight, Time now)
 {
     const auto &model = service(flight).model;
@@ -312,10 +312,10 @@
 void Relay::dispatch(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (now >= flight.deadline)
-        return finish(id, outcomeOf(flight, FlightOutcome::TimedOut), "no time left", actions);
+        return finish(id, outcomeOf(flight, FlightOutcome::TimedOut), "deadline exceeded", actions);
     if (blockIfSuspected(id, flight, now, actions))
         return;
-    // Asked at each tick while it waits: no path is looked for that cannot be paid.
+    // Called at each tick while the flight waits: does not search a path without a retry.
     if (flight.owesRetry && !budget(flight).canWithdraw(now))
         return;
     SendRequest send;
@@ -336,20 +336,21 @@
     actions.push_back(std::move(send));
 }
 
-/// \a alsoAt: an endpoint that counts as one where it ran.
+/// Whether the route's limit of attempts allows another one. \a alsoAt is counted like the
+/// endpoints where the request may have run.
 bool Relay::mayRunAgain(const Flight &flight, std::string_view alsoAt) const
 {
     if (!flight.request.route->idempotent())
         return false;
-    // Endpoints that are gone do not count: what they ran is lost in any case.
-    const auto alive = [&](std::string_view each) { return m_fleet->find(each) != nullptr; };
-    auto ran = static_cast<std::uint32_t>(
-        std::count_if(flight.mayHaveRunAt.begin(), flight.mayHaveRunAt.end(), alive));
+    // Delisted endpoints do not count: the results of their attempts are lost.
+    const auto isListed = [&](std::string_view each) { return m_fleet->find(each) != nullptr; };
+    auto endpointCount = static_cast<std::uint32_t>(
+        std::count_if(flight.mayHaveRunAt.begin(), flight.mayHaveRunAt.end(), isListed));
     const bool counted = std::find(flight.mayHaveRunAt.begin(), flight.mayHaveRunAt.end(), alsoAt)
                          != flight.mayHaveRunAt.end();
-    if (!alsoAt.empty() && !counted && alive(alsoAt))
-        ran += 1;
-    return ran < flight.request.route->maxAttempts;
+    if (!alsoAt.empty() && !counted && isListed(alsoAt))
+        endpointCount += 1;
+    return endpointCount < flight.request.route->maxAttempts;
 }
 
 FlightOutcome Relay::outcomeOf(const Flight &flight, FlightOutcome ifMayHaveRun)
@@ -359,22 +360,22 @@
     return flight.mayHaveRunAt.empty() ? FlightOutcome::NotExecuted : ifMayHaveRun;
 }
 
-/// A stream that has begun is bounded by the repeats and its caller's patience alone:
-/// engines that reject it did not run it, and nothing else is left to its caller.
+/// A started stream has no limit of sends, only the retry budget and the caller's patience:
+/// engines that reject it did not execute it, and its caller cannot resume it otherwise.
 bool Relay::sendLimitReached(const Flight &flight) const
 {
     return !flight.eventsForwarded
            && flight.sends >= flight.request.route->maxAttempts + m_settings.extraSends;
 }
 
-/// Engines without room reject one new request after another, and these would spend
-/// all repeats before a stream needs one. A new request that is refused can come
-/// back; a stream that has begun is lost. So new ones leave some for those.
+/// New requests leave a reserve of retries to started streams. Engines without free memory
+/// reject many new requests, which would use up the retries. The caller of a new request can
+/// retry it, while a started stream is lost without a retry.
 bool Relay::withdrawRetry(const Flight &flight, Time now)
 {
-    const bool begun = flight.eventsForwarded || !flight.mayHaveRunAt.empty();
-    const bool yields = service(flight).model && !begun;
-    return budget(flight).withdraw(now, yields ? m_settings.streamReserve : 0);
+    const bool hasStarted = flight.eventsForwarded || !flight.mayHaveRunAt.empty();
+    const bool leavesReserve = service(flight).model && !hasStarted;
+    return budget(flight).withdraw(now, leavesReserve ? m_settings.streamReserve : 0);
 }
 
 void Relay::retry(FlightId id, Flight &flight, bool mayHaveRun, const std::string &faultyEndpoint,
@@ -392,16 +393,16 @@
     if (!flight.mayHaveRunAt.empty() && !mayRunAgain(flight))
         return finish(id, outcome, std::move(reason), actions);
     if (sendLimitReached(flight))
-        return finish(id, outcome, reason + "; sent often enough", actions);
+        return finish(id, outcome, reason + "; no sends left", actions);
     if (blockIfSuspected(id, flight, now, actions))
         return;
     if (!withdrawRetry(flight, now)) {
         m_counts.budgetExhausted += 1;
-        reason += "; no budget to send it again";
+        reason += "; retry budget exhausted";
         if (!flight.eventsForwarded)
             return finish(id, outcome, std::move(reason), actions);
-        // Its caller waits a while for the next event anyway, and repeats come back
-        // as the window moves on; broken off now, the answer would be lost for sure.
+        // The caller waits some time for the next event, and the window may free a retry
+        // meanwhile. Truncating the answer now would lose it for certain.
         flight.owesRetry = true;
         flight.lastReason = std::move(reason);
         return;
@@ -417,11 +418,11 @@
     if (it == m_flights.end())
         return;
     endAttempt(it->second);
-    Duration wait {};
+    Duration delay {};
     if (outcome == FlightOutcome::NotExecuted) {
-        // Spread, so that those refused together do not come back together.
+        // Jitter: callers that are refused together do not retry together.
         std::uniform_real_distribution<double> spread(0.6, 1.4);
-        wait = retryAfter.value_or(
+        delay = retryAfter.value_or(
             Duration(static_cast<std::int64_t>(m_settings.retryAfter.count() * spread(m_random))));
     }
     std::uint64_t RelayCounts::*const counters[] = {&RelayCounts::notExecuted, &RelayCounts::failed,
@@ -429,7 +430,7 @@
                                                     &RelayCounts::truncated};
     m_counts.*counters[static_cast<std::size_t>(outcome)] += 1;
     m_flights.erase(it);
-    actions.push_back(FinishFlight {id, outcome, wait, std::move(reason)});
+    actions.push_back(FinishFlight {id, outcome, delay, std::move(reason)});
 }
 
 void Relay::attemptFailed(FlightId id, std::uint32_t attempt, AttemptFailure failure, Time now,
@@ -445,24 +446,24 @@
     case AttemptFailure::NotSent:
         finishTrial(*flight, TrialOutcome::NotSent, actions);
         m_engines.suspect(flight->endpoint, now);
-        return retry(id, *flight, false, flight->endpoint, "not reached: " + flight->endpoint, now,
-                     actions);
+        return retry(id, *flight, false, flight->endpoint,
+                     "request could not be sent to " + flight->endpoint, now, actions);
     case AttemptFailure::Broken:
-        return retry(id, *flight, true, flight->endpoint, "broken off by " + flight->endpoint, now,
-                     actions);
+        return retry(id, *flight, true, flight->endpoint,
+                     "connection broken by " + flight->endpoint, now, actions);
     case AttemptFailure::InvalidAnswer:
-        return retry(id, *flight, true, flight->endpoint, "bad answer of " + flight->endpoint, now,
-                     actions);
+        return retry(id, *flight, true, flight->endpoint, "invalid answer from " + flight->endpoint,
+                     now, actions);
     }
 }
 
 void Relay::handleRejection(FlightId id, Flight &flight, const AnswerHead &head, Time now,
                             RelayActions &actions)
 {
-    const FleetEndpoint *atFault = head.faultyAddress.empty()
-                                       ? m_fleet->find(flight.endpoint)
-                                       : m_fleet->atAddress(head.faultyAddress);
-    const std::string faultyEndpoint = atFault ? atFault->id : flight.endpoint;
+    const FleetEndpoint *faulty = head.faultyAddress.empty()
+                                      ? m_fleet->find(flight.endpoint)
+                                      : m_fleet->atAddress(head.faultyAddress);
+    const std::string faultyEndpoint = faulty ? faulty->id : flight.endpoint;
     const bool stalled = now - flight.sentAt >= StalledRejection;
     if (stalled)
         recordStalled(flight, faultyEndpoint, now);
@@ -470,7 +471,8 @@
         m_engines.suspect(faultyEndpoint, now);
     else
         m_engines.refusedBusy(faultyEndpoint, now);
-    std::string reason = "refused by " + faultyEndpoint + " with " + std::to_string(head.status);
+    std::string reason =
+        "rejected by " + faultyEndpoint + " with status " + std::to_string(head.status);
     if (flight.trial.state == Trial::State::Sent) {
         finishTrial(flight, TrialOutcome::Inconclusive, actions);
         return finish(id, outcomeOf(flight, FlightOutcome::Failed), std::move(reason), actions);
@@ -503,8 +505,8 @@
     }
     if (!head.provenExecuted) {
         m_engines.finished(flight->endpoint, true, now);
-        retry(id, *flight, true, flight->endpoint, "unsealed answer of " + flight->endpoint, now,
-              actions);
+        retry(id, *flight, true, flight->endpoint,
+              "answer without proof of execution from " + flight->endpoint, now, actions);
         return false;
     }
     const bool failed = head.status >= FirstServerError;
@@ -513,7 +515,8 @@
     if (failed && mayRunAgain(*flight) && flight->request.route->maxAttempts > 1
         && flight->sends < flight->request.route->maxAttempts) {
         actions.push_back(AbandonAttempt {id, attempt});
-        retry(id, *flight, true, flight->endpoint, "failure of " + flight->endpoint, now, actions);
+        retry(id, *flight, true, flight->endpoint, "server error from " + flight->endpoint, now,
+              actions);
         return false;
     }
     if (stream && !failed) {
@@ -522,10 +525,10 @@
         flight->state = State::Streaming;
         return true;
     }
-    // The caller has the head and events of an earlier attempt: a failure after
-    // them can only be shown by breaking off.
+    // The caller has received the head and events of an earlier attempt. Only truncation can
+    // report a failure after them.
     if (flight->eventsForwarded) {
-        finish(id, FlightOutcome::Truncated, "failure of " + flight->endpoint, actions);
+        finish(id, FlightOutcome::Truncated, "server error from " + flight->endpoint, actions);
         return false;
     }
     passAnswer(id, *flight, !failed, now, actions);
@@ -590,16 +593,16 @@
     const auto it = m_flights.find(id);
     if (it == m_flights.end() || it->second.attempt != attempt || now >= it->second.deadline)
         return false;
-    const auto stays = [this](const std::string &id) {
+    const auto acceptsWork = [this](const std::string &id) {
         const FleetEndpoint *endpoint = m_fleet->find(id);
         return endpoint && !endpoint->draining;
     };
     const Flight &flight = it->second;
     if (!mayRun(flight, now))
         return false;
-    return stays(flight.endpoint)
+    return acceptsWork(flight.endpoint)
            && std::all_of(flight.path.begin(), flight.path.end(),
-                          [&](const PathPart &part) { return stays(part.endpoint); });
+                          [&](const PathPart &part) { return acceptsWork(part.endpoint); });
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -1,4 +1,4 @@
-// The part of Relay that keeps a request from ending one endpoint after another.
+// The part of Relay that prevents a request from crashing one endpoint after another.
 
 #include <balsamloft/relay.h>
 
@@ -6,8 +6,8 @@
 
 namespace balsamloft {
 
-/// Every endpoint takes what runs on it along when it ends; only a request that had
-/// just begun there, or had not yet, may be the one that ended it.
+/// Records that the endpoint broke the attempt. A crash interrupts all attempts on the endpoint,
+/// but only one that has not run for long can be the cause.
 void Relay::recordBroken(Flight &flight, Time now, RelayActions &actions)
 {
     const FleetEndpoint *endpoint = m_fleet->find(flight.endpoint);
@@ -15,13 +15,13 @@
         return;
     flight.failedEarly = true;
     m_quarantine.attemptBroken(flight.request.digest, flight.endpoint, now);
-    // A question of a moment ago says nothing about the end that came after it.
+    // An earlier query cannot detect this crash: queries the endpoint at once.
     m_queriedAt.erase(flight.endpoint);
     queryEngine(flight.endpoint, now, actions);
 }
 
-/// An engine that begins a request in the moment in which it is given up ends without
-/// breaking it off.
+/// Records an abandoned attempt. An engine that started the request just before can crash
+/// without breaking the attempt.
 void Relay::recordAbandoned(const Flight &flight, Time now)
 {
     const FleetEndpoint *endpoint = m_fleet->find(flight.endpoint);
@@ -29,8 +29,9 @@
         m_quarantine.attemptAbandoned(flight.request.digest, flight.endpoint, now);
 }
 
-/// An engine in the middle of the path breaks nothing off when it ends: the first one
-/// lives, and waits for it. One that passed an event on has run the request.
+/// Records that the attempt is stalled at an engine in the middle of its path. A crash there
+/// does not break the attempt: the first engine is alive and waits. After the first event, all
+/// engines of the path have executed the request, so it is not the cause.
 void Relay::recordStalled(Flight &flight, const std::string &endpoint, Time now)
 {
     const FleetEndpoint *found = m_fleet->find(endpoint);
@@ -41,7 +42,7 @@
     m_quarantine.attemptStalled(flight.request.digest, endpoint, now);
 }
 
-/// Whether the flight may not be brought to another endpoint as if it were harmless.
+/// Whether the request may be the cause of crashes, so that its path must not be changed.
 bool Relay::isSuspected(const Flight &flight, Time now) const
 {
     const std::string &digest = flight.request.digest;
@@ -62,8 +63,8 @@
     finishTrial(flight, TrialOutcome::Succeeded, actions);
 }
 
-/// Of endpoints that are asked and do not answer the list tells: one that announces
-/// that it leaves did not end under a request.
+/// Resolves unconfirmed crashes by the list of endpoints. One that announced its shutdown did
+/// not crash.
 void Relay::resolveUnconfirmed(Time now)
 {
     for (const std::string &id : m_quarantine.unconfirmedEndpoints(now)) {
@@ -81,7 +82,8 @@
         queryEngine(id, now, actions);
 }
 
-/// \return whether the flight is not to be sent now; it may have ended.
+/// Checks whether the request is suspected of causing crashes.
+/// \return whether the flight must not be sent now; it may be finished already.
 bool Relay::blockIfSuspected(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     const std::string &digest = flight.request.digest;
@@ -104,7 +106,7 @@
     return true;
 }
 
-/// Whether the flight has the permit to run, where it needs one.
+/// Whether the request may run, with a permit if it needs one.
 bool Relay::mayRun(const Flight &flight, Time now) const
 {
     if (flight.provenHarmless)
@@ -114,8 +116,8 @@
     return verdict == Verdict::Allowed || (verdict == Verdict::TrialOnly && permitted);
 }
 
-/// Asks for the permit to run the request at the endpoint that would be chosen now.
-/// \return whether the flight is not to be sent now.
+/// Requests the permit for a trial at the endpoint that would be chosen now.
+/// \return whether the flight must not be sent now.
 bool Relay::awaitTrial(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     Trial &trial = flight.trial;
@@ -178,31 +180,33 @@
     actions.push_back(FinishTrial {flight.request.digest, outcome});
 }
 
-/// Those refused together are told different times, so that they do not all return at the
-/// moment from which one of them may be tried.
+/// Finishes a flight that must not be sent. The time to retry has jitter, so that callers
+/// refused together do not all retry when the next trial is allowed.
 void Relay::finishBlocked(FlightId id, const Flight &flight, Duration wait, Time now,
                           RelayActions &actions)
 {
-    const bool held = m_quarantine.verdict(flight.request.digest, now) == Verdict::Quarantined;
+    const bool quarantined =
+        m_quarantine.verdict(flight.request.digest, now) == Verdict::Quarantined;
     std::uniform_int_distribution<std::int64_t> spread(
         0, m_quarantine.settings().propagationDelay.count());
     m_counts.quarantined += 1;
     finish(id, outcomeOf(flight, FlightOutcome::Failed),
-           held ? "held back: endpoints ended under it" : "endpoints ended under it; not tried now",
+           quarantined ? "quarantined: endpoints crashed while running it"
+                       : "endpoints crashed while running it; no trial is permitted now",
            actions, wait + Duration(spread(m_random)));
 }
 
-/// What waits at an endpoint to be run when it becomes known that other endpoints ended
-/// under it would end this one too.
+/// Abandons an attempt whose request was found to crash endpoints: it may still wait at its
+/// endpoint, which it would crash too.
 bool Relay::recall(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (flight.state == State::Waiting || mayRun(flight, now))
         return false;
     const std::string &digest = flight.request.digest;
-    const bool begun = flight.firstEventAt.has_value();
+    const bool hasEvents = flight.firstEventAt.has_value();
     if (m_quarantine.verdict(digest, now) == Verdict::TrialOnly
         && flight.trial.state != Trial::State::Sent
-        && (begun
+        && (hasEvents
             || m_quarantine.crashes(digest, now) < m_quarantine.settings().crashesToRequireTrial))
         return false;
     actions.push_back(AbandonAttempt {id, flight.attempt});
--- a/src/libbalsamloft/relaypath.cpp
+++ b/src/libbalsamloft/relaypath.cpp
@@ -1,4 +1,4 @@
-// The part of Relay that has a running attempt carried on along another path.
+// The part of Relay that moves a running attempt to another path.
 
 #include <balsamloft/relay.h>
 
@@ -6,10 +6,11 @@
 
 namespace balsamloft {
 
-/// An engine in the middle of a path dies: its streams stall, though their first
-/// engine, their connections and most of what was read are well. Sent again,
-/// each would be read again by all engines and take one of the few repeats; so
-/// the first engine is told another path. What it cannot do is sent again.
+/// Orders the first engine to continue along another path, after an engine in the middle of the
+/// path failed. The first engine, its connection and most of the prefilled state are intact. A
+/// retry would prefill the prompt on all engines again and use one of the few retries, so it is
+/// only the fallback.
+/// \return whether an order was sent.
 bool Relay::changePath(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (flight.path.size() < 2 || flight.pathChanges >= m_settings.maxPathChanges
@@ -35,7 +36,7 @@
     recordTransfers(flight, now);
     flight.pathChanges += 1;
     flight.pathChangeSentAt = now;
-    // What it passed so far says nothing of its new engines.
+    // Earlier events do not prove that the request is harmless to its new engines.
     if (!flight.provenHarmless)
         flight.firstEventAt.reset();
     m_counts.pathsChanged += 1;
@@ -62,7 +63,7 @@
             abandonAndRetry(id, *flight, "its path could not be changed", now, actions);
         return;
     }
-    // What its new engines have to read is no silence of theirs.
+    // The new engines need time to prefill the prompt before the next event.
     flight->progressAt = now + flight->expectedFirstEvent;
 }
 
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -1,4 +1,4 @@
-// The part of Relay that notices silence, and what is done about it.
+// The part of Relay that detects unresponsive endpoints and moves their requests.
 
 #include <balsamloft/relay.h>
 
@@ -6,7 +6,7 @@
 
 namespace balsamloft {
 
-/// The first endpoint on the flight's way that does not answer or is gone.
+/// The first endpoint on the flight's path that is suspected or no longer listed.
 std::optional<std::string> Relay::firstSuspect(const Flight &flight, Time now) const
 {
     if (flight.path.empty())
@@ -73,8 +73,8 @@
     tick(now, actions);
 }
 
-/// A process that stood still finds all its streams silent for that long. The
-/// silence was its own: charged to the engines, it would eject all of them.
+/// Discounts the time that this process was paused. All its streams seem to have paused for that
+/// time; counted against the engines, the pause would make all of them suspected.
 void Relay::discountPause(Time now)
 {
     const Duration lost = now - m_lastTick;
@@ -106,7 +106,7 @@
             flight.mayHaveRunAt.push_back(flight.endpoint);
             actions.push_back(AbandonAttempt {id, flight.attempt});
         }
-        return finish(id, outcomeOf(flight, FlightOutcome::TimedOut), "its time is over", actions);
+        return finish(id, outcomeOf(flight, FlightOutcome::TimedOut), "deadline exceeded", actions);
     }
     if (recall(id, flight, now, actions))
         return;
@@ -116,7 +116,7 @@
         return watchStream(id, flight, now, actions);
     if (flight.request.route->idempotent() && now - flight.sentAt >= m_settings.callAttemptTimeout
         && flight.sends < flight.request.route->maxAttempts && mayRunAgain(flight))
-        abandonAndRetry(id, flight, "no answer of " + flight.endpoint, now, actions);
+        abandonAndRetry(id, flight, "no answer from " + flight.endpoint, now, actions);
 }
 
 void Relay::watchWaiting(FlightId id, Flight &flight, Time now, RelayActions &actions)
@@ -149,9 +149,9 @@
     retry(id, flight, true, faultyEndpoint, std::move(reason), now, actions);
 }
 
-/// A stream that has begun is lost for sure once it is broken off and cannot go on
-/// elsewhere; left alone, it goes on if its engine was only slow, or if another path
-/// turns up in time. One that has not begun is better told at once.
+/// Whether the flight should be abandoned and retried. A started stream is only moved if there is
+/// a retry and a path for it: without them it would be lost, while waiting may help if its engine
+/// is only slow or another path appears. A request without events is moved or refused at once.
 bool Relay::worthMoving(const Flight &flight, Time now)
 {
     if (!flight.eventsForwarded)
@@ -174,22 +174,22 @@
     const Duration pause = now - flight.progressAt;
     const Duration expected =
         flight.state == State::Streaming ? flight.expectedEventInterval : flight.expectedFirstEvent;
-    const std::optional<std::string> suspect = firstSuspect(flight, now);
+    const std::optional<std::string> suspectedEngine = firstSuspect(flight, now);
     const bool idempotent = flight.request.route->idempotent();
-    if (suspect && pause >= m_settings.suspectPause + expected) {
-        recordStalled(flight, *suspect, now);
+    if (suspectedEngine && pause >= m_settings.suspectPause + expected) {
+        recordStalled(flight, *suspectedEngine, now);
         flight.lastReason = "an engine of its path does not answer";
         if (changePath(id, flight, now, actions))
             return;
         if (idempotent && worthMoving(flight, now))
             return abandonAndRetry(id, flight, flight.lastReason, now, actions);
     }
-    // One that has not begun may wait its turn at a busy engine; moved, it
-    // would wait again elsewhere, and cost a repeat.
+    // A request without events may be queued at a busy engine. If moved, it would be queued again
+    // elsewhere and use a retry, so its timeout is longer.
     const Duration timeout =
         flight.state == State::Streaming ? m_settings.stallTimeout : m_settings.startTimeout;
     if (idempotent && pause >= timeout + expected && worthMoving(flight, now))
-        return abandonAndRetry(id, flight, "stands still", now, actions);
+        return abandonAndRetry(id, flight, "stream stalled", now, actions);
     const auto patience =
         Duration(static_cast<std::int64_t>(expected.count() * m_settings.queryAfterGaps));
     if (pause >= std::max(m_settings.queryAfterPause, patience))
--- a/src/libbalsamloft/requestdigest.cpp
+++ b/src/libbalsamloft/requestdigest.cpp
@@ -13,8 +13,8 @@
 std::string requestDigest(const RequestContent &content)
 {
     std::string text;
-    // Each field behind its length: moved from one field to the next, the same bytes
-    // would else make another team's request.
+    // The length precedes each field. Without it, moving bytes from one field to the next
+    // would give the digest of another team's request.
     for (const std::string_view field :
          {content.team, content.method, content.host, content.target, content.body})
         text.append(std::to_string(field.size())).append(":").append(field);
--- a/src/libbalsamloft/trialpermits.cpp
+++ b/src/libbalsamloft/trialpermits.cpp
@@ -35,7 +35,7 @@
 {
     std::map<std::string, TrialRow, std::less<>> known;
     for (TrialRow &each : rows) {
-        // An own write may be newer than what others told.
+        // A write of this instance may be newer than the received row.
         const auto before = m_rows.find(each.key);
         if (before != m_rows.end() && before->second.version > each.version)
             each = before->second;
@@ -52,9 +52,9 @@
     const auto it = m_rows.find(key);
     if (it != m_rows.end())
         return it->second;
-    TrialRow none;
-    none.key = key;
-    return none;
+    TrialRow missing;
+    missing.key = key;
+    return missing;
 }
 
 bool TrialPermits::isRunning(const TrialRow &row, Time storeNow) const
@@ -69,7 +69,7 @@
 
 Duration TrialPermits::retryDelay(const TrialRow &row, Time storeNow) const
 {
-    // Most tries are over long before their time.
+    // Without the margin: most trials finish long before their permits expire.
     return std::max(m_settings.retryInterval, row.until - storeNow);
 }
 
@@ -77,11 +77,11 @@
 TrialPermits::decide(const TrialRequest &request, const FleetSnapshot &fleet, Time storeNow) const
 {
     TrialRow content = row(contentTrialKey(request.digest));
-    const bool told = crashPublished(request.digest, content.counterpart);
-    if (!told && isRunning(content, storeNow))
+    const bool isPublished = crashPublished(request.digest, content.counterpart);
+    if (!isPublished && isRunning(content, storeNow))
         return TrialAnswer {false, {}, false, retryDelay(content, storeNow)};
     TrialChange change;
-    if (!told && !content.counterpart.empty() && !fleet.find(content.counterpart)) {
+    if (!isPublished && !content.counterpart.empty() && !fleet.find(content.counterpart)) {
         change.crash = CrashRecord {request.digest, content.counterpart, content.until};
         content.counterpart.clear();
         change.rows = {content};
@@ -101,15 +101,15 @@
     return change;
 }
 
-TrialAnswer TrialPermits::answer(const TrialRequest &request, const TrialChange &asked,
+TrialAnswer TrialPermits::answer(const TrialRequest &request, const TrialChange &change,
                                  bool committed, Time storeNow) const
 {
-    if (committed && !asked.crash)
+    if (committed && !change.crash)
         return {true, m_settings.validFor, false, {}};
     const TrialRow content = row(contentTrialKey(request.digest));
-    const bool taken = !committed && !isRunning(content, storeNow)
-                       && isRunning(row(endpointTrialKey(request.endpoint)), storeNow);
-    return {false, {}, taken, retryDelay(content, storeNow)};
+    const bool endpointBusy = !committed && !isRunning(content, storeNow)
+                              && isRunning(row(endpointTrialKey(request.endpoint)), storeNow);
+    return {false, {}, endpointBusy, retryDelay(content, storeNow)};
 }
 
 void TrialPermits::recordWrite(const TrialChange &change, bool committed, std::uint64_t version,
@@ -129,7 +129,8 @@
         m_crashes.emplace(change.crash->digest, change.crash->endpoint);
 }
 
-std::optional<TrialChange> TrialPermits::release(const std::string &digest, TrialOutcome end) const
+std::optional<TrialChange> TrialPermits::release(const std::string &digest,
+                                                 TrialOutcome outcome) const
 {
     TrialRow content = row(contentTrialKey(digest));
     const TrialRow endpoint = row(endpointTrialKey(content.counterpart));
@@ -138,11 +139,11 @@
         return std::nullopt;
     TrialChange change;
     change.removed.push_back(endpoint);
-    if (end == TrialOutcome::Succeeded) {
+    if (outcome == TrialOutcome::Succeeded) {
         change.removed.push_back(std::move(content));
         return change;
     }
-    if (end == TrialOutcome::NotSent && content.trials > 0)
+    if (outcome == TrialOutcome::NotSent && content.trials > 0)
         content.trials -= 1;
     content.counterpart.clear();
     change.rows.push_back(std::move(content));
