--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -8,8 +8,9 @@
 
 constexpr Duration TickInterval {50'000};
 constexpr Duration NetworkDelay {500}; ///< one way
-constexpr Duration StallTimeout {2'500'000}; ///< an engine cuts off what waits so long for another
-constexpr Duration QueryTimeout {450'000}; ///< answered, or it failed
+constexpr Duration StallTimeout {
+    2'500'000}; ///< then an engine drops a request that waits for another engine
+constexpr Duration QueryTimeout {450'000};
 constexpr std::uint32_t Layers = 8;
 constexpr std::uint32_t ManyRetries = 1000;
 
@@ -59,13 +60,13 @@
 {
     RelaySettings settings = RelayHarness::defaults();
     settings.domain = "d" + std::to_string(instance % m_settings.domains);
-    settings.seed = m_settings.seed * 1000 + m_next++;
+    settings.seed = m_settings.seed * 1000 + m_nextNumber++;
     m_relays[instance] = std::make_unique<Relay>(settings);
     m_relays[instance]->setInstances(m_settings.instances / m_settings.domains,
                                      m_settings.instances, m_now);
     m_callers[instance].clear();
     TrialSettings trials;
-    trials.holder = "instance " + std::to_string(m_next++);
+    trials.holder = "instance " + std::to_string(m_nextNumber++);
     m_permits[instance] = TrialPermits(trials);
     publishFleet();
 }
@@ -76,8 +77,8 @@
     for (std::size_t i = 0; i < others; ++i)
         digests.push_back("beside " + std::to_string(i));
     for (const std::string &digest : digests)
-        for (int end = 0; end < 3; ++end)
-            m_sharedCrashes.push_back({digest, "gone-" + std::to_string(end), m_now});
+        for (int crash = 0; crash < 3; ++crash)
+            m_sharedCrashes.push_back({digest, "gone-" + std::to_string(crash), m_now});
     m_crashes[digests.front()].assign(3, m_now);
     distribute();
     for (std::size_t i = 1; i < digests.size(); ++i) {
@@ -96,12 +97,12 @@
     for (std::size_t i = 0; i < m_settings.instances; ++i)
         startInstance(i);
     for (const auto &run : m_runs)
-        run->over = true;
+        run->finished = true;
     m_runs.clear();
     after(m_settings.updateDelay, [this] { distribute(); });
 }
 
-/// Where engines in the middle of paths end, every other one holds the second half.
+/// All layers, or for CrashKind::CrashesMiddle one half in turn.
 LayerRange CrashSimulation::layersOf(std::size_t number) const
 {
     if (m_settings.crashKind != CrashKind::CrashesMiddle)
@@ -123,7 +124,7 @@
 void CrashSimulation::publishFleet()
 {
     auto fleet = std::make_shared<FleetSnapshot>();
-    fleet->number = m_next++;
+    fleet->number = m_nextNumber++;
     for (const Engine &each : m_engines) {
         if (!each.listed)
             continue;
@@ -145,27 +146,27 @@
             });
 }
 
-template<typename Step>
-void CrashSimulation::step(std::size_t instance, Step what)
+template<typename Action>
+void CrashSimulation::step(std::size_t instance, Action action)
 {
     RelayActions actions;
-    what(*m_relays[instance], actions);
+    action(*m_relays[instance], actions);
     act(instance, std::move(actions));
 }
 
-void CrashSimulation::after(Duration delay, std::function<void()> what)
+void CrashSimulation::after(Duration delay, std::function<void()> action)
 {
-    m_events.push({m_now + delay, m_next++, std::move(what)});
+    m_events.push({m_now + delay, m_nextNumber++, std::move(action)});
 }
 
-Duration CrashSimulation::between(std::int64_t least, std::int64_t most)
+Duration CrashSimulation::between(std::int64_t min, std::int64_t max)
 {
-    return Duration(std::uniform_int_distribution<std::int64_t>(least, most)(m_random));
+    return Duration(std::uniform_int_distribution<std::int64_t>(min, max)(m_random));
 }
 
-Duration CrashSimulation::upTo(Duration most)
+Duration CrashSimulation::upTo(Duration max)
 {
-    return most == Duration {} ? most : between(0, most.count());
+    return max == Duration {} ? max : between(0, max.count());
 }
 
 std::size_t CrashSimulation::pick(std::size_t count)
@@ -180,7 +181,7 @@
         const Event event = m_events.top();
         m_events.pop();
         m_now = event.at;
-        event.what();
+        event.action();
     }
     m_now = until;
 }
@@ -194,7 +195,7 @@
 void CrashSimulation::arrive()
 {
     Caller caller;
-    caller.digest = "harmless " + std::to_string(m_next++);
+    caller.digest = "harmless " + std::to_string(m_nextNumber++);
     caller.eventsLeft = static_cast<std::uint64_t>(between(10, 40).count());
     m_harmless.sent += 1;
     submit(pick(m_settings.instances), std::move(caller));
@@ -204,13 +205,13 @@
 
 void CrashSimulation::arriveCrashing()
 {
-    if (m_now - m_begun >= m_settings.crashingUntil)
+    if (m_now - m_startedAt >= m_settings.crashingUntil)
         return;
     const auto first = static_cast<std::size_t>(between(0, 1000).count());
     for (std::size_t i = 0; i < m_settings.crashingCopies; ++i) {
         Caller caller;
         caller.digest = crashingDigest();
-        caller.crashing = m_now - m_begun >= m_settings.harmlessFor;
+        caller.crashing = m_now - m_startedAt >= m_settings.harmlessFor;
         caller.eventsLeft = 20;
         caller.retries = m_settings.crashingRetries;
         submit((first + i) % m_settings.instances, std::move(caller));
@@ -220,13 +221,13 @@
 
 std::string CrashSimulation::crashingDigest() const
 {
-    return "ends engines " + std::to_string((m_now - m_begun) / m_settings.crashingLifetime);
+    return "ends engines " + std::to_string((m_now - m_startedAt) / m_settings.crashingLifetime);
 }
 
 void CrashSimulation::submit(std::size_t instance, Caller caller)
 {
     RelayRequest request;
-    request.id = "request-" + std::to_string(m_next++);
+    request.id = "request-" + std::to_string(m_nextNumber++);
     request.digest = caller.digest;
     request.table = m_table;
     const bool once = caller.crashing && m_settings.crashingKind == RequestKind::Unsafe;
@@ -266,7 +267,7 @@
             for (const auto &run : m_runs)
                 if (run->instance == instance && run->flight == abandoned->flight
                     && run->attempt == abandoned->attempt)
-                    run->over = true;
+                    run->finished = true;
     }
 }
 
@@ -291,7 +292,7 @@
         permits.setRows(m_trials.rows(), m_sharedCrashes);
 }
 
-/// \return whether the rows were still as \a change takes them to be.
+/// \return whether the rows still had the versions given by \a change.
 bool CrashSimulation::write(const TrialChange &change)
 {
     if (!m_trials.write(change))
@@ -367,7 +368,7 @@
         after(NetworkDelay * 2, [this, run] { reject(run); });
 }
 
-/// Until the engine begins a request that arrives now; nothing when it rejects it.
+/// Time until the engine has prefilled a request that arrives now; nothing if it rejects it.
 std::optional<Duration> CrashSimulation::timeToStart(Engine &engine)
 {
     if (m_settings.prefillTime == Duration {})
@@ -381,7 +382,7 @@
 
 void CrashSimulation::reject(const std::shared_ptr<Run> &run)
 {
-    if (std::exchange(run->over, true) || !m_callers[run->instance].contains(run->flight))
+    if (std::exchange(run->finished, true) || !m_callers[run->instance].contains(run->flight))
         return;
     AnswerHead head;
     head.status = 503;
@@ -391,7 +392,7 @@
     });
 }
 
-/// A caller leaves when no event came since \a eventsLeft were left.
+/// The caller leaves if no event arrived since \a eventsLeft events were left.
 void CrashSimulation::leaveIfIdle(std::size_t instance, FlightId flight, std::uint64_t eventsLeft)
 {
     const auto caller = m_callers[instance].find(flight);
@@ -411,7 +412,7 @@
 
 void CrashSimulation::begin(const std::shared_ptr<Run> &run)
 {
-    if (run->over || isDead(*run))
+    if (run->finished || isStopped(*run))
         return;
     if (run->next && m_engines[*run->next].crashed)
         run->stalled = true;
@@ -428,22 +429,24 @@
     nextEvent(run);
 }
 
-/// Also when the request was given up since the engine began it.
+/// Crashes an engine as the effect of the run's request, also if the attempt was abandoned after
+/// the engine started it.
 void CrashSimulation::crashUnder(const std::shared_ptr<Run> &run)
 {
     const bool middle = m_settings.crashKind == CrashKind::CrashesMiddle;
-    if (isDead(*run) || (middle && (run->over || !run->next || m_engines[*run->next].crashed)))
+    if (isStopped(*run)
+        || (middle && (run->finished || !run->next || m_engines[*run->next].crashed)))
         return;
     m_crashes[run->digest].push_back(m_now);
     if (middle)
-        return crashNext(*run->next);
+        return crashMiddle(*run->next);
     if (m_settings.crashKind == CrashKind::Hangs)
         return hang(run->engine);
     crashEngine(run->engine);
 }
 
-/// Whether the first engine of the run does nothing for it any more.
-bool CrashSimulation::isDead(const Run &run) const
+/// Whether the first engine of the run crashed or hangs.
+bool CrashSimulation::isStopped(const Run &run) const
 {
     return m_engines[run.engine].crashed || m_engines[run.engine].hangs;
 }
@@ -461,11 +464,11 @@
                 relay.applyEngineReports({{silent}, {}}, m_now, actions);
             });
     });
-    after(m_settings.restart, [this, engine] { crashEngine(engine); });
+    after(m_settings.restartDelay, [this, engine] { crashEngine(engine); });
 }
 
-/// Runs through it stand still at their first engines.
-void CrashSimulation::crashNext(std::size_t engine)
+/// Crashes the second engine of paths. Attempts through it are stalled at their first engines.
+void CrashSimulation::crashMiddle(std::size_t engine)
 {
     for (const auto &run : m_runs)
         run->stalled = run->stalled || run->next == engine;
@@ -482,21 +485,21 @@
 {
     std::set<std::string> addresses;
     for (const auto &run : m_runs)
-        if (!run->over && run->stalled && run->engine == engine)
+        if (!run->finished && run->stalled && run->engine == engine)
             addresses.insert(m_engines[*run->next].address);
     return {addresses.begin(), addresses.end()};
 }
 
-/// The first engine goes on along the new path.
+/// Continues the attempt along the new path if both engines are alive.
 void CrashSimulation::changePath(std::size_t instance, const ChangePath &change)
 {
     after(NetworkDelay, [this, instance, change] {
         const auto found = std::find_if(m_runs.begin(), m_runs.end(), [&](const auto &run) {
-            return !run->over && run->instance == instance && run->flight == change.flight
+            return !run->finished && run->instance == instance && run->flight == change.flight
                    && run->attempt == change.attempt;
         });
         const std::size_t next = engineOf(change.path[1].endpoint);
-        const bool taken = found != m_runs.end() && !isDead(**found) && !m_engines[next].crashed;
+        const bool taken = found != m_runs.end() && !isStopped(**found) && !m_engines[next].crashed;
         if (taken) {
             const std::shared_ptr<Run> run = *found;
             run->next = next;
@@ -515,18 +518,19 @@
 void CrashSimulation::nextEvent(const std::shared_ptr<Run> &run)
 {
     const auto caller = m_callers[run->instance].find(run->flight);
-    if (run->over || isDead(*run) || run->stalled || caller == m_callers[run->instance].end())
+    if (run->finished || isStopped(*run) || run->stalled
+        || caller == m_callers[run->instance].end())
         return;
     run->events += 1;
     caller->second.eventsLeft -= 1;
     step(run->instance, [&](Relay &relay, RelayActions &actions) {
-        relay.eventsPassed(run->flight, run->attempt, m_next++, m_now, actions);
+        relay.eventsPassed(run->flight, run->attempt, m_nextNumber++, m_now, actions);
         if (caller->second.eventsLeft == 0) {
-            run->over = true;
+            run->finished = true;
             relay.streamCompleted(run->flight, run->attempt, m_now, actions);
         }
     });
-    if (!run->over)
+    if (!run->finished)
         after(Duration(100'000), [this, run] { nextEvent(run); });
 }
 
@@ -534,7 +538,7 @@
 {
     std::vector<std::size_t> used;
     for (const auto &run : m_runs)
-        if (!run->over && !m_engines[run->engine].crashed)
+        if (!run->finished && !m_engines[run->engine].crashed)
             used.push_back(run->engine);
     if (!used.empty())
         crashEngine(used[pick(used.size())]);
@@ -544,16 +548,16 @@
 {
     m_engines[engine].crashed = true;
     for (const auto &run : std::vector(m_runs))
-        if (run->engine == engine && !run->over)
+        if (run->engine == engine && !run->finished)
             after(NetworkDelay + upTo(m_settings.breakSpread), [this, run] {
                 fail(run, run->events > 0 ? AttemptFailure::InvalidAnswer : AttemptFailure::Broken);
             });
-    std::erase_if(m_runs, [&](const auto &run) { return run->over || run->engine == engine; });
+    std::erase_if(m_runs, [&](const auto &run) { return run->finished || run->engine == engine; });
     after(m_settings.delistDelay, [this, engine] {
         m_engines[engine].listed = false;
         publishFleet();
     });
-    const Duration back = m_engines[engine].hangs ? Duration(1) : m_settings.restart;
+    const Duration back = m_engines[engine].hangs ? Duration(1) : m_settings.restartDelay;
     after(back, [this, domain = m_engines[engine].domain, layers = m_engines[engine].layers] {
         startEngine(domain, layers);
     });
@@ -561,7 +565,7 @@
 
 void CrashSimulation::fail(const std::shared_ptr<Run> &run, AttemptFailure failure)
 {
-    if (std::exchange(run->over, true) || !m_callers[run->instance].contains(run->flight))
+    if (std::exchange(run->finished, true) || !m_callers[run->instance].contains(run->flight))
         return;
     step(run->instance, [&](Relay &relay, RelayActions &actions) {
         relay.attemptFailed(run->flight, run->attempt, failure, m_now, actions);
@@ -618,16 +622,16 @@
 
 std::vector<Time> CrashSimulation::crashes() const
 {
-    std::vector<Time> most;
+    std::vector<Time> result;
     for (const auto &[digest, crashes] : m_crashes)
-        if (crashes.size() > most.size())
-            most = crashes;
-    return most;
+        if (crashes.size() > result.size())
+            result = crashes;
+    return result;
 }
 
 std::size_t CrashSimulation::sendsAfterThirdCrash(Duration after) const
 {
-    std::size_t most = 0;
+    std::size_t result = 0;
     for (const auto &[digest, crashes] : m_crashes) {
         if (crashes.size() < 3)
             continue;
@@ -635,9 +639,9 @@
         const std::vector<Time> &sends = m_crashingSends.at(digest);
         const auto late =
             std::count_if(sends.begin(), sends.end(), [&](Time at) { return at > since; });
-        most = std::max(most, static_cast<std::size_t>(late));
+        result = std::max(result, static_cast<std::size_t>(late));
     }
-    return most;
+    return result;
 }
 
 } // namespace balsamloft::fakes
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -170,7 +170,7 @@
 
 namespace {
 
-/// The actions of one type that concern \a flight, first to last.
+/// The actions of one type for \a flight, in order.
 template<typename Action>
 std::vector<Action> actionsOf(const RelayActions &actions, FlightId flight)
 {
--- a/src/fakes/relayharness.h
+++ b/src/fakes/relayharness.h
@@ -1,6 +1,6 @@
 /// \file
-/// A small world for a Relay in virtual time: engines with layers, plain
-/// endpoints, one route of each kind. The test plays the engines.
+/// Runs a Relay in virtual time against engines, plain endpoints and one route of each kind.
+/// The test sends the answers of the endpoints.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace balsamloft::fakes {
 
-/// An engine of the world.
+/// An engine of the harness, or a plain endpoint if it has no layers.
 struct RelayEngine
 {
     std::string id;
@@ -18,13 +18,13 @@
     std::string kind = "fast";
 };
 
-/// A Relay with its fleet and routes; time moves only when told to.
+/// A Relay with its fleet and routes. Time only advances by advance().
 class RelayHarness
 {
 public:
     explicit RelayHarness(std::vector<RelayEngine> engines, RelaySettings settings = defaults());
 
-    /// Settings with a large budget for one instance.
+    /// Settings with a large retry budget for one instance.
     static RelaySettings defaults();
 
     FlightId submit(RequestKind kind, Duration timeLeft = Duration(20'000'000),
@@ -35,10 +35,10 @@
     void setInstances(const std::vector<PeerInstance> &instances, const std::string &self,
                       Duration clockBehind = {});
 
-    /// Lets time pass in steps, with a tick after each.
+    /// Advances the time in steps, with a tick after each.
     void advance(Duration duration, Duration step = Duration(50'000));
 
-    // What the engines do
+    // Events from endpoints
 
     bool answer(FlightId flight, int status, bool provenExecuted = true, bool notExecuted = false,
                 std::string_view at = {});
@@ -46,21 +46,22 @@
     void fail(FlightId flight, AttemptFailure failure);
     void completeStream(FlightId flight);
 
-    /// Answers the last order to change a path that is not yet answered.
+    /// Answers the last order to change the flight's path.
     void answerPathChange(FlightId flight, PathReply reply, const std::string &faulty = {});
 
-    /// Answers the last question for the permit to try the flight's request.
+    /// Answers the flight's last request for a trial permit.
     void answerTrial(FlightId flight, const TrialAnswer &answer);
 
-    /// The engine \a id leaves, or vanishes.
+    /// Marks the endpoint \a id as draining.
     void drain(const std::string &id);
+    /// Delists the endpoint \a id.
     void remove(const std::string &id);
 
     std::string addressOf(const std::string &id) const;
 
-    // What the relay did
+    // Actions of the relay
 
-    /// Sends of a flight, first to last.
+    /// Sends of a flight, in order.
     std::vector<SendRequest> sends(FlightId flight) const;
     std::vector<ChangePath> pathChanges(FlightId flight) const;
     std::vector<RequestTrial> trialRequests(FlightId flight) const;
--- a/src/fakes/trialstore.h
+++ b/src/fakes/trialstore.h
@@ -1,5 +1,5 @@
 /// \file
-/// The store's rows of trials as plain state, for tests in virtual time.
+/// In-memory table of the store's trial rows, for tests in virtual time.
 
 #pragma once
 
@@ -10,19 +10,19 @@
 
 namespace balsamloft::fakes {
 
-/// Takes a change if the rows that it names are still at its versions, or nothing of it.
+/// Applies a change completely if its rows still have the given versions, otherwise not at all.
 class TrialStore
 {
 public:
-    /// \return whether it was taken.
+    /// \return whether the change was applied.
     bool write(const TrialChange &change)
     {
-        const auto asKnown = [this](const TrialRow &row) {
+        const auto versionMatches = [this](const TrialRow &row) {
             const auto it = m_rows.find(row.key);
             return (it == m_rows.end() ? 0 : it->second.version) == row.version;
         };
-        if (!std::all_of(change.rows.begin(), change.rows.end(), asKnown)
-            || !std::all_of(change.removed.begin(), change.removed.end(), asKnown))
+        if (!std::all_of(change.rows.begin(), change.rows.end(), versionMatches)
+            || !std::all_of(change.removed.begin(), change.removed.end(), versionMatches))
             return false;
         m_version += 1;
         for (TrialRow row : change.rows) {
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -11,66 +11,65 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// From the third engine's end until no instance may send the request any more.
-constexpr Duration KnownEverywhere {3'000'000};
+/// Time after the third crash by which no instance may send the request.
+constexpr Duration DetectionDelay {3'000'000};
 
-/// Engines that one request may end, over all instances.
-constexpr std::size_t MostEnds = 4;
+/// Engines that one request may crash, over all instances.
+constexpr std::size_t MaxCrashes = 4;
 
-/// The same when something speaks for the request, such as that it came through before.
-constexpr std::size_t MostEndsInDoubt = 5;
+/// The same if the request succeeded before.
+constexpr std::size_t MaxCrashesAfterSuccess = 5;
 
-/// Sends later than KnownEverywhere that the fleet bears.
-constexpr std::size_t MostLateSends = 3;
+/// Sends later than DetectionDelay that are tolerated, as trials.
+constexpr std::size_t MaxLateSends = 3;
 
 FlightId submitBad(RelayHarness &harness, RequestKind kind = RequestKind::Stream)
 {
     return harness.submit(kind, Duration(20'000'000), "bad");
 }
 
-std::vector<RelayEngine> wholeEngines()
+std::vector<RelayEngine> completeEngines()
 {
     return {{"e1", {0, 8}}, {"e2", {0, 8}}, {"e3", {0, 8}}, {"e4", {0, 8}}, {"p1", {}}, {"p2", {}}};
 }
 
-/// Others saw \a crashes endpoints end under the request, a while ago.
-void learnEnds(RelayHarness &harness, int crashes)
+/// Gives the relay \a crashes records of other instances, and waits until they are effective.
+void shareCrashes(RelayHarness &harness, int crashes)
 {
-    std::vector<CrashRecord> told;
+    std::vector<CrashRecord> records;
     for (int i = 0; i < crashes; ++i)
-        told.push_back({"bad", "gone" + std::to_string(i), harness.now});
-    harness.relay.setSharedCrashes(told);
+        records.push_back({"bad", "gone" + std::to_string(i), harness.now});
+    harness.relay.setSharedCrashes(records);
     harness.advance(seconds(3));
 }
 
-/// A few engines ended before anything could be known, one more for each try that the fleet
-/// permitted, and nobody harmless was held.
-void checkFoundOut(const CrashSimulation &simulation, std::size_t instances)
+/// Checks that only a few engines crashed before detection and one more for each trial, and that
+/// no harmless request was quarantined.
+void checkBlocked(const CrashSimulation &simulation, std::size_t instances)
 {
-    INFO(instances << " instances, " << simulation.crashes().size() << " ends");
-    const std::size_t tries = simulation.sendsAfterThirdCrash(KnownEverywhere);
-    CHECK(tries <= MostLateSends);
-    CHECK(simulation.crashes().size() <= MostEnds + tries);
+    INFO(instances << " instances, " << simulation.crashes().size() << " crashes");
+    const std::size_t lateSends = simulation.sendsAfterThirdCrash(DetectionDelay);
+    CHECK(lateSends <= MaxLateSends);
+    CHECK(simulation.crashes().size() <= MaxCrashes + lateSends);
     CHECK(simulation.harmless().quarantined == 0);
 }
 
 } // namespace
 
-// Guards against a request that ends each engine that runs it and is sent to all, one after
-// another.
-TEST_CASE("a request that ends its engines is sent to no more of them after the third")
+// Guards against a request that is sent to all engines one after another and crashes each.
+TEST_CASE("a request that crashes engines is not sent after the third crash")
 {
     CrashSimulationSettings settings;
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation simulation(settings);
     simulation.run(seconds(60));
-    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(simulation.crashes().size() <= MostEnds);
+    CHECK(simulation.sendsAfterThirdCrash(DetectionDelay) == 0);
+    CHECK(simulation.crashes().size() <= MaxCrashes);
 }
 
-// Guards against a neighbour's broken connection, read a moment later, that is taken for a
-// sign that the engine was still alive after it broke the guilty one off.
-TEST_CASE("engines whose connections break one after another end under a request all the same")
+// Guards against data that is read from another connection of a crashed engine after the crashing
+// request's connection broke, and is taken as proof that the engine is alive.
+TEST_CASE("a crash is recorded although the engine's connections break one after another")
 {
     CrashSimulationSettings settings;
     settings.requestsPerSecond = 300;
@@ -80,25 +79,25 @@
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation simulation(settings);
     simulation.run(seconds(40));
-    INFO(simulation.crashes().size() << " ends");
-    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(simulation.crashes().size() <= MostEnds);
+    INFO(simulation.crashes().size() << " crashes");
+    CHECK(simulation.sendsAfterThirdCrash(DetectionDelay) == 0);
+    CHECK(simulation.crashes().size() <= MaxCrashes);
 }
 
-// Guards against an earlier success that clears a request of all that it does later.
-TEST_CASE("a request that came through before is found out when it ends engines")
+// Guards against an early success that clears a request of all later crashes.
+TEST_CASE("a request that succeeded at first is blocked once it crashes engines")
 {
     CrashSimulationSettings settings;
     settings.harmlessFor = Duration(13'000'000);
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation simulation(settings);
     simulation.run(seconds(60));
-    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) <= MostLateSends);
-    CHECK(simulation.crashes().size() <= MostEndsInDoubt);
+    CHECK(simulation.sendsAfterThirdCrash(DetectionDelay) <= MaxLateSends);
+    CHECK(simulation.crashes().size() <= MaxCrashesAfterSuccess);
 }
 
-// Guards against what is left of one such request and keeps the next from being found out.
-TEST_CASE("of several such requests, one after another, each is found out")
+// Guards against records of one crashing request that prevent the detection of the next one.
+TEST_CASE("each of several successive crashing requests is blocked")
 {
     CrashSimulationSettings settings;
     settings.crashingLifetime = Duration(15'000'000);
@@ -106,12 +105,12 @@
     settings.seed = GENERATE(range(1, 5));
     CrashSimulation simulation(settings);
     simulation.run(seconds(60));
-    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(simulation.crashes().size() <= MostEnds);
+    CHECK(simulation.sendsAfterThirdCrash(DetectionDelay) == 0);
+    CHECK(simulation.crashes().size() <= MaxCrashes);
 }
 
-// Guards against as many ends as there are instances that do not know of each other's.
-TEST_CASE("sixty instances send a request that ends its engines to no more than six do")
+// Guards against a number of crashes that grows with the number of instances.
+TEST_CASE("sixty instances block a crashing request after as few crashes as six")
 {
     CrashSimulationSettings settings;
     settings.instances = 60;
@@ -120,12 +119,12 @@
     settings.crashingInterval = Duration(1'000'000);
     CrashSimulation simulation(settings);
     simulation.run(seconds(30));
-    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(simulation.crashes().size() <= MostEnds);
+    CHECK(simulation.sendsAfterThirdCrash(DetectionDelay) == 0);
+    CHECK(simulation.crashes().size() <= MaxCrashes);
 }
 
-// Guards against a permission that each instance gives alone, at a moment that all share.
-TEST_CASE("hundreds of instances try a request under suspicion no more often than a few do")
+// Guards against hundreds of trials at the moment from which instances allow trials.
+TEST_CASE("trials of a suspected request do not increase with the number of instances")
 {
     CrashSimulationSettings settings;
     settings.instances = GENERATE(6, 60, 76, 295);
@@ -135,15 +134,15 @@
     CrashSimulation simulation(settings);
     simulation.addSuspects(5);
     simulation.run(seconds(35));
-    INFO(settings.instances << " instances, " << simulation.crashes().size() << " ends");
-    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) <= MostLateSends);
+    INFO(settings.instances << " instances, " << simulation.crashes().size() << " crashes");
+    CHECK(simulation.sendsAfterThirdCrash(DetectionDelay) <= MaxLateSends);
     CHECK(simulation.harmless().quarantined == 0);
     CHECK(simulation.waits().size() == 5);
 }
 
-// Guards against a request whose path leads to one engine after another behind a first one that
-// lives and answers for them.
-TEST_CASE("a request that ends engines in the middle of its path is found out")
+// Guards against crashes that are not recorded because the first engine of the path is alive and
+// answers queries, while the request is moved from one second engine to the next.
+TEST_CASE("a request that crashes engines in the middle of its path is blocked")
 {
     CrashSimulationSettings settings;
     settings.crashKind = CrashKind::CrashesMiddle;
@@ -153,38 +152,38 @@
     settings.seed = GENERATE(range(1, 6));
     CrashSimulation simulation(settings);
     simulation.run(seconds(30));
-    checkFoundOut(simulation, settings.instances);
+    checkBlocked(simulation, settings.instances);
 }
 
-// Guards against engines that are silent and not gone, one after another.
-TEST_CASE("a request that hangs its engines is found out")
+// Guards against engines that hang one after another and are not recorded, as they do not
+// terminate.
+TEST_CASE("a request that hangs its engines is blocked")
 {
     CrashSimulationSettings settings;
     settings.crashKind = CrashKind::Hangs;
-    settings.restart = Duration(30'000'000);
+    settings.restartDelay = Duration(30'000'000);
     settings.instances = GENERATE(6, 76, 295);
     settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 3));
     CrashSimulation simulation(settings);
     simulation.run(seconds(25));
-    checkFoundOut(simulation, settings.instances);
+    checkBlocked(simulation, settings.instances);
 }
 
-// Guards against copies that wait at engines while it becomes known what they do.
-TEST_CASE(
-    "a request that comes at three instances at once is known as soon as one that comes alone")
+// Guards against copies that are queued at engines while the crashes are detected.
+TEST_CASE("copies of a crashing request at three instances are blocked as soon as a single one")
 {
     CrashSimulationSettings settings;
     settings.crashingCopies = 3;
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation simulation(settings);
     simulation.run(seconds(30));
-    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
+    CHECK(simulation.sendsAfterThirdCrash(DetectionDelay) == 0);
     CHECK(simulation.harmless().quarantined == 0);
 }
 
-// Guards against a domain without the store, where each instance learns by its own ends alone.
-TEST_CASE("instances that cannot reach the store send a request that ends engines to few")
+// Guards against one series of crashes per instance in a domain that cannot reach the store.
+TEST_CASE("instances without the store block a crashing request after few crashes")
 {
     CrashSimulationSettings settings;
     settings.storeUnreachable = true;
@@ -192,23 +191,23 @@
     settings.crashingInterval = Duration(500'000);
     CrashSimulation simulation(settings);
     simulation.run(seconds(40));
-    INFO(settings.instances << " instances, " << simulation.crashes().size() << " ends");
-    CHECK(simulation.crashes().size() <= MostEnds);
+    INFO(settings.instances << " instances, " << simulation.crashes().size() << " crashes");
+    CHECK(simulation.crashes().size() <= MaxCrashes);
 }
 
-// Guards against single attempts, each at another instance, that add up nowhere.
-TEST_CASE("a request that may run once only and ends its engines is found out over its attempts")
+// Guards against single attempts at different instances whose crashes are not added up.
+TEST_CASE("a crashing request that may run only once is blocked")
 {
     CrashSimulationSettings settings;
     settings.crashingKind = RequestKind::Unsafe;
     settings.seed = GENERATE(range(1, 5));
     CrashSimulation simulation(settings);
     simulation.run(seconds(40));
-    CHECK(simulation.crashes().size() <= MostEnds);
+    CHECK(simulation.crashes().size() <= MaxCrashes);
 }
 
-// Guards against instances that all begin anew and send the request to three more engines.
-TEST_CASE("what instances know of a request outlasts all of them")
+// Guards against instances that restart without records and send the request to three more engines.
+TEST_CASE("crash records persist through restarts of all instances")
 {
     CrashSimulationSettings settings;
     settings.seed = GENERATE(range(1, 5));
@@ -219,12 +218,12 @@
     simulation.run(seconds(30));
     simulation.restartInstances();
     simulation.run(seconds(30));
-    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(simulation.crashes().size() <= MostEnds);
+    CHECK(simulation.sendsAfterThirdCrash(DetectionDelay) == 0);
+    CHECK(simulation.crashes().size() <= MaxCrashes);
 }
 
-// Guards against harmless requests that are shut out since engines end by themselves.
-TEST_CASE("engines that end by themselves shut out nobody")
+// Guards against the quarantine of harmless requests when engines crash for other reasons.
+TEST_CASE("crashes without a common cause quarantine no request")
 {
     CrashSimulationSettings settings;
     settings.crashingUntil = Duration {};
@@ -238,27 +237,27 @@
     CHECK(simulation.harmless().refused == 0);
 }
 
-// Guards against a fleet that is busy when engines end, and takes all that wait for guilty.
-TEST_CASE("on a fleet at its limits the request is found out and nobody else is")
+// Guards against the quarantine of requests that are queued at busy engines when these crash.
+TEST_CASE("a busy fleet blocks the crashing request and no harmless one")
 {
     CrashSimulationSettings settings;
     settings.enginesPerDomain = 3;
     settings.requestsPerSecond = 80;
     settings.prefillTime = Duration(60'000);
-    settings.restart = Duration(8'000'000);
+    settings.restartDelay = Duration(8'000'000);
     settings.crashingInterval = Duration(2'000'000);
     settings.seed = GENERATE(range(1, 9));
     CrashSimulation simulation(settings);
     simulation.run(seconds(40));
-    CHECK(simulation.sendsAfterThirdCrash(KnownEverywhere) == 0);
-    CHECK(simulation.crashes().size() <= MostEnds);
+    CHECK(simulation.sendsAfterThirdCrash(DetectionDelay) == 0);
+    CHECK(simulation.crashes().size() <= MaxCrashes);
     CHECK(simulation.harmless().quarantined == 0);
 }
 
-// Guards against an endpoint that ends after the request was given up, and breaks nothing off.
-TEST_CASE("a request that is given up as its engine ends is found out")
+// Guards against a crash after the attempt was abandoned, which breaks no connection.
+TEST_CASE("a crash during an abandoned attempt counts against the request")
 {
-    RelayHarness harness(wholeEngines());
+    RelayHarness harness(completeEngines());
     const FlightId flight = submitBad(harness);
     const std::string engine = harness.sends(flight).back().endpoint;
     harness.relay.callerGone(flight, harness.now, harness.actions);
@@ -268,8 +267,8 @@
     CHECK(harness.relay.quarantine().crashes("bad", harness.now) == 1);
 }
 
-// Guards against bytes that came before an engine's end and are read after it.
-TEST_CASE("what an engine sent before it ended is no sign that it lives")
+// Guards against data that was sent before a crash and is read after it.
+TEST_CASE("data that an engine sent before its crash does not clear the request")
 {
     RelayHarness harness({{"e1", {0, 8}}});
     const FlightId other = harness.submit(RequestKind::Stream);
@@ -285,10 +284,10 @@
     CHECK(harness.relay.quarantine().crashes("bad", harness.now) == 1);
 }
 
-// Guards against a lost link, where engines are silent, that is taken for their end.
-TEST_CASE("an engine that only does not answer ended under nothing")
+// Guards against a lost link, across which engines do not answer, that counts as their crash.
+TEST_CASE("an unanswered query does not count as a crash")
 {
-    RelayHarness harness(wholeEngines());
+    RelayHarness harness(completeEngines());
     const FlightId flight = submitBad(harness);
     const std::string engine = harness.sends(flight).back().endpoint;
     harness.fail(flight, AttemptFailure::Broken);
@@ -296,29 +295,29 @@
     CHECK(harness.relay.quarantine().crashes("bad", harness.now) == 0);
 }
 
-// Guards against harmless streams that are suspected of all ends along their path.
-TEST_CASE("an engine in the middle that passed events of a stream on did not end under it")
+// Guards against harmless streams that are suspected of all crashes along their paths.
+TEST_CASE("a crash in the middle of the path does not count after the first event")
 {
     RelayHarness harness({{"first", {0, 4}}, {"middle", {4, 8}}, {"other", {4, 8}}});
     const FlightId flight = submitBad(harness);
     REQUIRE(harness.sends(flight).back().path.size() == 2);
     const std::string middle = harness.sends(flight).back().path[1].endpoint;
     REQUIRE(harness.answer(flight, 200));
-    const bool passedOn = GENERATE(true, false);
-    if (passedOn)
+    const bool eventForwarded = GENERATE(true, false);
+    if (eventForwarded)
         harness.forwardEvents(flight, 1);
     harness.advance(seconds(1));
     harness.relay.queryAnswered("first", {harness.addressOf(middle)}, 1, harness.now,
                                 harness.actions);
     harness.advance(milliseconds(100));
     harness.relay.queryFailed(middle, harness.now, harness.actions, true);
-    CHECK(harness.relay.quarantine().crashes("bad", harness.now) == (passedOn ? 0 : 1));
+    CHECK(harness.relay.quarantine().crashes("bad", harness.now) == (eventForwarded ? 0 : 1));
 }
 
-// Guards against a planned stop that is held against the requests that it cuts.
-TEST_CASE("an engine that leaves ends under nothing")
+// Guards against a planned shutdown that counts against the requests it interrupts.
+TEST_CASE("the shutdown of a draining engine does not count as a crash")
 {
-    RelayHarness harness(wholeEngines());
+    RelayHarness harness(completeEngines());
     const FlightId flight = submitBad(harness);
     const std::string engine = harness.sends(flight).back().endpoint;
     harness.drain(engine);
@@ -328,11 +327,11 @@
     CHECK(harness.relay.quarantine().crashes("bad", harness.now) == 0);
 }
 
-// Guards against a caller who waits for nothing, and against a promise that is not true.
-TEST_CASE("a request that is held back is refused at once, as not run if it was not")
+// Guards against callers that wait in vain, and against a false claim that nothing was executed.
+TEST_CASE("a quarantined request is refused at once as not executed")
 {
-    RelayHarness harness(wholeEngines());
-    learnEnds(harness, 3);
+    RelayHarness harness(completeEngines());
+    shareCrashes(harness, 3);
     const FlightId flight = submitBad(harness, GENERATE(RequestKind::Stream, RequestKind::Unsafe));
     CHECK(harness.sends(flight).empty());
     REQUIRE(harness.finished(flight));
@@ -340,39 +339,39 @@
     CHECK(harness.finished(flight)->retryAfter > seconds(60));
 }
 
-// Guards against an engine that is lost to a request which waits there to be run.
-TEST_CASE("a request that waits at an engine is taken back when it becomes known")
+// Guards against the crash of an engine where the request is still queued.
+TEST_CASE("a queued attempt is abandoned when its request becomes quarantined")
 {
-    RelayHarness harness(wholeEngines());
+    RelayHarness harness(completeEngines());
     const FlightId flight = submitBad(harness);
     REQUIRE(harness.sends(flight).size() == 1);
-    learnEnds(harness, 3);
+    shareCrashes(harness, 3);
     CHECK(harness.abandoned(flight) == 1);
     REQUIRE(harness.finished(flight));
     CHECK(harness.finished(flight)->outcome == FlightOutcome::Failed);
 }
 
-// Guards against callers who lose a stream that runs, since it stood beside others' ends.
-TEST_CASE("a stream that runs well is neither suspected nor taken back")
+// Guards against the loss of a running stream because of crashes elsewhere.
+TEST_CASE("a stream with events for over a second is neither suspected nor abandoned")
 {
-    RelayHarness harness(wholeEngines());
+    RelayHarness harness(completeEngines());
     const FlightId flight = submitBad(harness);
     REQUIRE(harness.answer(flight, 200));
     for (std::uint64_t event = 1; event <= 12; ++event) {
         harness.forwardEvents(flight, event);
         harness.advance(milliseconds(100));
     }
-    learnEnds(harness, 3);
+    shareCrashes(harness, 3);
     CHECK_FALSE(harness.finished(flight));
     harness.fail(flight, AttemptFailure::InvalidAnswer);
     CHECK(harness.sends(flight).size() == 2);
 }
 
-// Guards against two copies at one instance that each end an engine where one shows enough.
-TEST_CASE("a request under which two engines ended is tried once at a time")
+// Guards against two copies at one instance that each crash an engine, where one crash is enough.
+TEST_CASE("a request with two crashes has one trial at a time")
 {
-    RelayHarness harness(wholeEngines());
-    learnEnds(harness, 2);
+    RelayHarness harness(completeEngines());
+    shareCrashes(harness, 2);
     const FlightId first = submitBad(harness);
     const FlightId second = submitBad(harness);
     CHECK(harness.sends(first).empty());
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -14,57 +14,58 @@
 
 const Time Start {std::chrono::hours(1)};
 
-/// \a endpoint ended, early in runs of all \a digests.
-void endUnder(Quarantine &quarantine, const std::string &endpoint,
-              const std::vector<std::string> &digests, Time now = Start)
+/// Breaks early attempts of all \a digests by a crash of \a endpoint.
+void crashWith(Quarantine &quarantine, const std::string &endpoint,
+               const std::vector<std::string> &digests, Time now = Start)
 {
     for (const std::string &digest : digests)
         quarantine.attemptBroken(digest, endpoint, now);
     quarantine.endpointCrashed(endpoint, now);
 }
 
-bool held(const Quarantine &quarantine, const std::string &digest, Time at = Start + seconds(2))
+bool isQuarantined(const Quarantine &quarantine, const std::string &digest,
+                   Time at = Start + seconds(2))
 {
     return quarantine.verdict(digest, at) == Verdict::Quarantined;
 }
 
 } // namespace
 
-TEST_CASE("a request is held back once three endpoints ended under it")
+TEST_CASE("a request is quarantined after crashes of three endpoints")
 {
     Quarantine quarantine;
-    endUnder(quarantine, "e1", {"bad"});
-    endUnder(quarantine, "e2", {"bad"});
-    CHECK_FALSE(held(quarantine, "bad"));
-    endUnder(quarantine, "e3", {"bad"});
-    CHECK(held(quarantine, "bad"));
-    CHECK_FALSE(held(quarantine, "other"));
+    crashWith(quarantine, "e1", {"bad"});
+    crashWith(quarantine, "e2", {"bad"});
+    CHECK_FALSE(isQuarantined(quarantine, "bad"));
+    crashWith(quarantine, "e3", {"bad"});
+    CHECK(isQuarantined(quarantine, "bad"));
+    CHECK_FALSE(isQuarantined(quarantine, "other"));
     CHECK(quarantine.quarantinedCount(Start + seconds(2)) == 1);
 }
 
-// Guards against connections that are reset by endpoints which live on.
-TEST_CASE("an endpoint that answers after it broke off ended under nothing")
+// Guards against connection resets by live endpoints that count as crashes.
+TEST_CASE("a broken attempt is no crash if the endpoint answers later")
 {
     Quarantine quarantine;
     for (const char *endpoint : {"e1", "e2", "e3", "e4"}) {
         quarantine.attemptBroken("good", endpoint, Start);
-        const Time asked = Start + milliseconds(1);
-        CHECK(quarantine.unconfirmedEndpoints(asked) == std::vector<std::string> {endpoint});
-        quarantine.endpointAnswered(endpoint, asked);
+        const Time queriedAt = Start + milliseconds(1);
+        CHECK(quarantine.unconfirmedEndpoints(queriedAt) == std::vector<std::string> {endpoint});
+        quarantine.endpointAnswered(endpoint, queriedAt);
     }
     CHECK(quarantine.crashes("good", Start) == 0);
     CHECK(quarantine.takeUpdate(Start + seconds(2)).empty());
 }
 
-// Guards against an endpoint that ends in the moment in which the request is given up.
-TEST_CASE("an endpoint that ends right after the request was given up ended under it")
+// Guards against a crash that is missed because the attempt was abandoned just before it.
+TEST_CASE("a crash right after the request was abandoned counts against it")
 {
     Quarantine quarantine;
     quarantine.attemptAbandoned("bad", "e1", Start);
     quarantine.attemptAbandoned("earlier", "e1", Start - milliseconds(300));
     CHECK(quarantine.unconfirmedEndpoints(Start + milliseconds(100))
           == std::vector<std::string> {"e1"});
-    endUnder(quarantine, "e1", {"beside"}, Start + milliseconds(50));
+    crashWith(quarantine, "e1", {"beside"}, Start + milliseconds(50));
     CHECK(quarantine.crashes("bad", Start + milliseconds(50)) == 1);
     CHECK(quarantine.crashes("earlier", Start + milliseconds(50)) == 0);
 
@@ -74,8 +75,8 @@
     CHECK(quarantine.crashes("bad", Start + seconds(1)) == 1);
 }
 
-// Guards against a lost domain, whose endpoints are silent and then no longer listed.
-TEST_CASE("an endpoint that vanishes ended only under what it broke off itself")
+// Guards against a partitioned domain, whose endpoints stop answering and are then delisted.
+TEST_CASE("the crash of a delisted endpoint counts only against attempts that it broke")
 {
     Quarantine quarantine;
     quarantine.attemptAbandoned("given up", "e1", Start);
@@ -85,8 +86,8 @@
     CHECK(quarantine.crashes("cut", Start + seconds(3)) == 1);
 }
 
-// Guards against a third send while the question whether the second endpoint lives is open.
-TEST_CASE("a request waits while it is open whether a second endpoint ended under it")
+// Guards against a third attempt before it is known whether the second endpoint crashed.
+TEST_CASE("a request waits while its second crash is unconfirmed")
 {
     Quarantine quarantine;
     quarantine.attemptBroken("bad", "e1", Start);
@@ -104,28 +105,29 @@
     CHECK_FALSE(quarantine.awaitsConfirmation("other", Start + milliseconds(1)));
 }
 
-// Guards against an innocent request that is shut out since it stood beside the guilty one.
-TEST_CASE("nobody is held by ends that another request explains as well")
+// Guards against the quarantine of a harmless request that ran beside the crashing one.
+TEST_CASE("three crashes that another request explains do not quarantine a request")
 {
     Quarantine quarantine;
     for (const char *endpoint : {"e1", "e2", "e3"})
-        endUnder(quarantine, endpoint, {"bad", "beside"});
-    CHECK_FALSE(held(quarantine, "bad"));
-    CHECK_FALSE(held(quarantine, "beside"));
-    endUnder(quarantine, "by itself", {"beside"});
-    CHECK_FALSE(held(quarantine, "beside"));
-    endUnder(quarantine, "e4", {"bad"});
-    endUnder(quarantine, "e5", {"bad"});
-    CHECK(held(quarantine, "bad"));
-    CHECK_FALSE(held(quarantine, "beside"));
+        crashWith(quarantine, endpoint, {"bad", "beside"});
+    CHECK_FALSE(isQuarantined(quarantine, "bad"));
+    CHECK_FALSE(isQuarantined(quarantine, "beside"));
+    crashWith(quarantine, "by itself", {"beside"});
+    CHECK_FALSE(isQuarantined(quarantine, "beside"));
+    crashWith(quarantine, "e4", {"bad"});
+    crashWith(quarantine, "e5", {"bad"});
+    CHECK(isQuarantined(quarantine, "bad"));
+    CHECK_FALSE(isQuarantined(quarantine, "beside"));
 }
 
-// Guards against a verdict by one instance's view: what another sent explains all its ends.
-TEST_CASE("nobody is held before what others saw can be known")
+// Guards against a verdict from the records of one instance, while another instance sent the
+// request that explains all crashes.
+TEST_CASE("a request is deferred until the records of other instances have arrived")
 {
     Quarantine quarantine;
     for (const char *endpoint : {"e1", "e2", "e3"})
-        endUnder(quarantine, endpoint, {"beside"});
+        crashWith(quarantine, endpoint, {"beside"});
     CHECK(quarantine.verdict("beside", Start) == Verdict::Deferred);
     CHECK(quarantine.blockedFor("beside", Start) == seconds(2));
     quarantine.setShared({{"bad", "e1", Start}, {"bad", "e2", Start}, {"bad", "e3", Start}});
@@ -134,65 +136,66 @@
     CHECK(quarantine.verdict("beside", Start + seconds(10)) == Verdict::TrialOnly);
 }
 
-TEST_CASE("two requests that cannot be told apart are both held in the end")
+TEST_CASE("two requests with the same five crashes are both quarantined")
 {
     Quarantine quarantine;
     for (const char *endpoint : {"e1", "e2", "e3", "e4", "e5"})
-        endUnder(quarantine, endpoint, {"bad", "beside"});
-    CHECK(held(quarantine, "bad"));
-    CHECK(held(quarantine, "beside"));
+        crashWith(quarantine, endpoint, {"bad", "beside"});
+    CHECK(isQuarantined(quarantine, "bad"));
+    CHECK(isQuarantined(quarantine, "beside"));
 }
 
-// Guards against an innocent request that met one guilty one and two other ends.
-TEST_CASE("an end that another request explains does not count")
+// Guards against the quarantine of a harmless request by one explained crash and two others.
+TEST_CASE("a single crash that another request explains does not count")
 {
     Quarantine quarantine;
-    endUnder(quarantine, "e1", {"beside"});
-    endUnder(quarantine, "e2", {"beside"});
-    endUnder(quarantine, "e3", {"bad", "beside"});
-    endUnder(quarantine, "e4", {"bad"});
-    endUnder(quarantine, "e5", {"bad"});
-    endUnder(quarantine, "e6", {"bad"});
-    CHECK(held(quarantine, "bad"));
-    CHECK_FALSE(held(quarantine, "beside"));
+    crashWith(quarantine, "e1", {"beside"});
+    crashWith(quarantine, "e2", {"beside"});
+    crashWith(quarantine, "e3", {"bad", "beside"});
+    crashWith(quarantine, "e4", {"bad"});
+    crashWith(quarantine, "e5", {"bad"});
+    crashWith(quarantine, "e6", {"bad"});
+    CHECK(isQuarantined(quarantine, "bad"));
+    CHECK_FALSE(isQuarantined(quarantine, "beside"));
 }
 
-TEST_CASE("a request that came through is cleared everywhere")
+TEST_CASE("a success clears the crashes of a request and retracts its published records")
 {
     Quarantine quarantine;
-    endUnder(quarantine, "e1", {"good"});
-    endUnder(quarantine, "e2", {"good"});
+    crashWith(quarantine, "e1", {"good"});
+    crashWith(quarantine, "e2", {"good"});
     REQUIRE(quarantine.takeUpdate(Start).added.size() == 2);
     quarantine.requestSucceeded("good", Start);
     CHECK(quarantine.crashes("good", Start) == 0);
     CHECK(quarantine.takeUpdate(Start).removed.size() == 2);
 }
 
-// Guards against many callers' same request that is shut out when three endpoints end at once.
-TEST_CASE("a request that came through just before takes more ends to be held")
+// Guards against the quarantine of a request that many callers send, when three endpoints crash
+// together for another reason.
+TEST_CASE("a request that succeeded a second before is quarantined after five crashes")
 {
     Quarantine quarantine;
     quarantine.requestSucceeded("popular", Start - seconds(1));
     for (const char *endpoint : {"e1", "e2", "e3"})
-        endUnder(quarantine, endpoint, {"popular"});
-    CHECK_FALSE(held(quarantine, "popular"));
+        crashWith(quarantine, endpoint, {"popular"});
+    CHECK_FALSE(isQuarantined(quarantine, "popular"));
     CHECK(quarantine.verdict("popular", Start + seconds(10)) == Verdict::TrialOnly);
-    endUnder(quarantine, "e4", {"popular"});
-    endUnder(quarantine, "e5", {"popular"});
-    CHECK(held(quarantine, "popular"));
+    crashWith(quarantine, "e4", {"popular"});
+    crashWith(quarantine, "e5", {"popular"});
+    CHECK(isQuarantined(quarantine, "popular"));
 }
 
-// Guards against one success that clears a request of what it does ever after.
-TEST_CASE("a request that came through long before is held like any other")
+// Guards against an early success that clears a request permanently.
+TEST_CASE("a success a minute before the crashes does not prevent quarantine")
 {
     Quarantine quarantine;
     quarantine.requestSucceeded("bad", Start - minutes(1));
     for (const char *endpoint : {"e1", "e2", "e3"})
-        endUnder(quarantine, endpoint, {"bad"});
-    CHECK(held(quarantine, "bad"));
+        crashWith(quarantine, endpoint, {"bad"});
+    CHECK(isQuarantined(quarantine, "bad"));
 }
 
-TEST_CASE("of what others tell, only what was before a success is taken back")
+TEST_CASE("a success retracts only shared records of earlier crashes")
 {
     Quarantine quarantine;
     quarantine.requestSucceeded("good", Start);
@@ -202,36 +205,36 @@
     CHECK(update.removed == std::vector<CrashRecord> {{"good", "e1", Start - seconds(1)}});
 }
 
-// Guards against ends that three instances saw, one each, and none adds up.
-TEST_CASE("ends that different instances saw add up at all of them, later ones too")
+// Guards against crashes that are not added up because each was recorded by another instance.
+TEST_CASE("crashes recorded by three instances quarantine the request at a new instance")
 {
-    std::vector<CrashRecord> told;
+    std::vector<CrashRecord> records;
     for (const char *endpoint : {"e1", "e2", "e3"}) {
-        Quarantine witness;
-        endUnder(witness, endpoint, {"bad"});
-        const CrashUpdate update = witness.takeUpdate(Start + seconds(1));
-        told.insert(told.end(), update.added.begin(), update.added.end());
+        Quarantine instance;
+        crashWith(instance, endpoint, {"bad"});
+        const CrashUpdate update = instance.takeUpdate(Start + seconds(1));
+        records.insert(records.end(), update.added.begin(), update.added.end());
     }
-    Quarantine late;
-    late.setShared(told);
-    CHECK(held(late, "bad"));
+    Quarantine newInstance;
+    newInstance.setShared(records);
+    CHECK(isQuarantined(newInstance, "bad"));
 }
 
-TEST_CASE("what others take back is forgotten, what was not told yet is not")
+TEST_CASE("retracted shared records are removed, unpublished ones are kept")
 {
     Quarantine quarantine;
     quarantine.setShared({{"a", "e1", Start}, {"a", "e2", Start}});
-    endUnder(quarantine, "e3", {"a"});
+    crashWith(quarantine, "e3", {"a"});
     quarantine.setShared({{"a", "e1", Start}});
     CHECK(quarantine.crashes("a", Start) == 2);
 }
 
-TEST_CASE("while no endpoint ends nothing is told, and one that comes through soon is not")
+TEST_CASE("nothing is published without a crash, nor for a request that succeeds soon after")
 {
     Quarantine quarantine;
     quarantine.requestSucceeded("good", Start);
     CHECK(quarantine.takeUpdate(Start).empty());
-    endUnder(quarantine, "e1", {"beside", "bad"});
+    crashWith(quarantine, "e1", {"beside", "bad"});
     CHECK(quarantine.takeUpdate(Start + milliseconds(100)).empty());
     quarantine.requestSucceeded("beside", Start);
     const CrashUpdate update = quarantine.takeUpdate(Start + seconds(1));
@@ -240,63 +243,63 @@
     CHECK(quarantine.takeUpdate(Start + seconds(2)).empty());
 }
 
-TEST_CASE("a request is let through again after a while, and old records go with the next write")
+TEST_CASE("a quarantine expires, and its records are retracted with the next update")
 {
     Quarantine quarantine;
     for (const char *endpoint : {"e1", "e2", "e3"})
-        endUnder(quarantine, endpoint, {"bad"});
+        crashWith(quarantine, endpoint, {"bad"});
     REQUIRE(quarantine.takeUpdate(Start + seconds(1)).added.size() == 3);
     CHECK(quarantine.blockedFor("bad", Start + minutes(4)) == minutes(6));
     const Time later = Start + minutes(11);
-    CHECK_FALSE(held(quarantine, "bad", later));
+    CHECK_FALSE(isQuarantined(quarantine, "bad", later));
     CHECK(quarantine.takeUpdate(later).empty());
-    endUnder(quarantine, "e4", {"other"}, later);
+    crashWith(quarantine, "e4", {"other"}, later);
     const CrashUpdate update = quarantine.takeUpdate(later + seconds(1));
     CHECK(update.added.size() == 1);
     CHECK(update.removed.size() == 3);
 }
 
-// Guards against a caller that fills the memory with ever new requests beside ends.
-TEST_CASE("what is remembered and told is bounded, and several ends outlast single ones")
+// Guards against a caller that fills the memory with different requests on crashing endpoints.
+TEST_CASE("stored and published records are bounded, and requests with several crashes are kept")
 {
     Quarantine quarantine;
-    endUnder(quarantine, "e1", {"bad"});
-    endUnder(quarantine, "e2", {"bad"});
+    crashWith(quarantine, "e1", {"bad"});
+    crashWith(quarantine, "e2", {"bad"});
     for (int i = 0; i < 20'000; ++i)
-        endUnder(quarantine, "f" + std::to_string(i % 50), {"flood " + std::to_string(i)});
+        crashWith(quarantine, "f" + std::to_string(i % 50), {"flood " + std::to_string(i)});
     CHECK(quarantine.suspectCount() <= QuarantineSettings {}.maxDigests);
     CHECK(quarantine.crashes("bad", Start) == 2);
     CHECK(quarantine.takeUpdate(Start + seconds(1)).added.size()
           <= QuarantineSettings {}.maxPerUpdate);
 }
 
-// Guards against a memory full of others' records, in which a new request is never suspected.
-TEST_CASE("a request is found out also when the memory is full of what others told")
+// Guards against a full table in which no new request is suspected.
+TEST_CASE("a request is quarantined although the table is full of shared records")
 {
     Quarantine quarantine;
-    std::vector<CrashRecord> told;
+    std::vector<CrashRecord> records;
     for (std::size_t i = 0; i < QuarantineSettings {}.maxDigests; ++i)
-        told.push_back({"told " + std::to_string(i), "f" + std::to_string(i % 50), Start});
-    quarantine.setShared(told);
+        records.push_back({"told " + std::to_string(i), "f" + std::to_string(i % 50), Start});
+    quarantine.setShared(records);
     for (const char *endpoint : {"e1", "e2", "e3"})
-        endUnder(quarantine, endpoint, {"bad"});
-    CHECK(held(quarantine, "bad"));
+        crashWith(quarantine, endpoint, {"bad"});
+    CHECK(isQuarantined(quarantine, "bad"));
     CHECK(quarantine.suspectCount() <= QuarantineSettings {}.maxDigests);
     CHECK(quarantine.takeUpdate(Start + seconds(1)).removed.size() == 1);
 }
 
 namespace {
 
-/// What random schedules showed, all together.
+/// The worst results of random schedules.
 struct ScheduleResult
 {
-    std::size_t harmlessHeld = 0; ///< harmless requests that were ever held back
-    std::size_t mostEnds = 0; ///< endpoints that the guilty request ended, at worst
+    std::size_t harmlessQuarantined = 0; ///< harmless requests that were ever quarantined
+    std::size_t maxCrashes = 0; ///< endpoints crashed by the crashing request in one schedule
 };
 
-/// Six instances, eight endpoints, one request that ends each endpoint it is sent to
-/// and is repeated once, others that only stand beside, two ends that nobody caused.
-/// News reach the other instances a step later.
+/// Six instances, eight endpoints, one request that crashes each endpoint it is sent to and is
+/// retried once, harmless requests, and two crashes without a cause. Crash records reach the other
+/// instances one step later.
 class Schedule
 {
 public:
@@ -314,14 +317,14 @@
         for (int step = 0; step < Steps; ++step) {
             m_now += seconds(1);
             share();
-            if (pick(4) == 0 && m_othersLeft-- > 0)
-                end(pick(Endpoints), "", 0);
+            if (pick(4) == 0 && m_otherCrashesLeft-- > 0)
+                crash(pick(Endpoints), "", 0);
             const std::size_t instance = pick(Instances);
             for (int attempt = 0; attempt < 2 && verdict(instance, "guilty") == Verdict::Allowed;
                  ++attempt)
-                end(pick(Endpoints), "guilty", instance);
+                crash(pick(Endpoints), "guilty", instance);
             if (verdict(instance, "guilty") == Verdict::TrialOnly)
-                end(withoutTrial(), "guilty", instance);
+                crash(endpointWithoutTrial(), "guilty", instance);
             for (Request &each : m_harmless)
                 advance(each);
         }
@@ -332,19 +335,20 @@
     static constexpr std::size_t Instances = 6;
     static constexpr std::size_t Endpoints = 8;
     static constexpr std::size_t Harmless = 24;
-    static constexpr std::size_t Nowhere = Endpoints; ///< its caller is about to come again
+    /// Endpoint of a request whose caller is about to send it again.
+    static constexpr std::size_t NoEndpoint = Endpoints;
     static constexpr int Steps = 10;
-    static constexpr std::size_t MostAttempts = 3;
+    static constexpr std::size_t MaxAttempts = 3;
 
     struct Request
     {
         std::string digest;
         std::size_t instance = 0;
         std::size_t endpoint = 0;
-        std::size_t cuts = 0;
+        std::size_t interruptions = 0;
         std::size_t attempts = 1;
-        bool over = false;
-        bool onTrial = false; ///< nothing else is tried at its endpoint
+        bool finished = false;
+        bool onTrial = false; ///< the only trial at its endpoint
     };
 
     std::size_t pick(std::size_t count)
@@ -357,94 +361,95 @@
         return m_instances[instance].verdict(digest, m_now);
     }
 
-    /// An endpoint where nothing is tried; Nowhere: there is none.
-    std::size_t withoutTrial()
+    /// A random endpoint without a trial, or NoEndpoint if there is none.
+    std::size_t endpointWithoutTrial()
     {
         std::vector<std::size_t> all;
         for (std::size_t endpoint = 0; endpoint < Endpoints; ++endpoint)
             if (std::none_of(m_harmless.begin(), m_harmless.end(), [&](const Request &each) {
-                    return each.onTrial && !each.over && each.endpoint == endpoint;
+                    return each.onTrial && !each.finished && each.endpoint == endpoint;
                 }))
                 all.push_back(endpoint);
-        return all.empty() ? Nowhere : all[pick(all.size())];
+        return all.empty() ? NoEndpoint : all[pick(all.size())];
     }
 
-    void end(std::size_t endpoint, const std::string &guilty, std::size_t guiltyAt)
+    void crash(std::size_t endpoint, const std::string &crashing, std::size_t crashingAt)
     {
-        const std::string id = std::to_string(endpoint) + "@" + std::to_string(m_starts++);
-        const auto cut = [&](std::size_t instance, const std::string &digest) {
+        const std::string id = std::to_string(endpoint) + "@" + std::to_string(m_nextId++);
+        const auto interrupt = [&](std::size_t instance, const std::string &digest) {
             m_instances[instance].attemptBroken(digest, id, m_now);
             m_instances[instance].endpointCrashed(id, m_now);
         };
-        if (!guilty.empty()) {
-            cut(guiltyAt, guilty);
-            m_result.mostEnds += 1;
+        if (!crashing.empty()) {
+            interrupt(crashingAt, crashing);
+            m_result.maxCrashes += 1;
         }
         for (Request &each : m_harmless)
-            if (!each.over && each.endpoint == endpoint) {
-                cut(each.instance, each.digest);
-                repeat(each);
+            if (!each.finished && each.endpoint == endpoint) {
+                interrupt(each.instance, each.digest);
+                handleInterruption(each);
             }
     }
 
-    /// An attempt is cut twice at most; its caller then comes again.
-    void repeat(Request &request)
+    /// Retries the request on another endpoint. After two interruptions, or one in a trial, it
+    /// fails and its caller sends it again.
+    void handleInterruption(Request &request)
     {
-        const bool tried = std::exchange(request.onTrial, false);
+        const bool wasOnTrial = std::exchange(request.onTrial, false);
         request.endpoint = pick(Endpoints);
-        if (++request.cuts < 2 && !tried)
+        if (++request.interruptions < 2 && !wasOnTrial)
             return;
-        request.cuts = 0;
+        request.interruptions = 0;
         request.instance = pick(Instances);
-        request.endpoint = Nowhere;
-        request.over = ++request.attempts > MostAttempts;
+        request.endpoint = NoEndpoint;
+        request.finished = ++request.attempts > MaxAttempts;
     }
 
-    /// What waits to be judged comes again later.
-    void comeAgain(Request &request)
+    /// Sends the request again if its verdict allows it.
+    void resend(Request &request)
     {
-        const Verdict found = verdict(request.instance, request.digest);
-        if (found == Verdict::Allowed)
+        const Verdict verdictNow = verdict(request.instance, request.digest);
+        if (verdictNow == Verdict::Allowed)
             request.endpoint = pick(Endpoints);
-        if (found == Verdict::TrialOnly)
-            request.endpoint = withoutTrial();
-        request.onTrial = found == Verdict::TrialOnly && request.endpoint != Nowhere;
-        request.over = found == Verdict::Quarantined;
-        m_result.harmlessHeld += request.over ? 1 : 0;
+        if (verdictNow == Verdict::TrialOnly)
+            request.endpoint = endpointWithoutTrial();
+        request.onTrial = verdictNow == Verdict::TrialOnly && request.endpoint != NoEndpoint;
+        request.finished = verdictNow == Verdict::Quarantined;
+        m_result.harmlessQuarantined += request.finished ? 1 : 0;
     }
 
     void advance(Request &request)
     {
-        if (request.over)
+        if (request.finished)
             return;
-        if (request.endpoint == Nowhere)
-            return comeAgain(request);
+        if (request.endpoint == NoEndpoint)
+            return resend(request);
         if (pick(2) == 0)
             return;
         m_instances[request.instance].requestSucceeded(request.digest, m_now);
-        request = {"later " + std::to_string(m_starts++), pick(Instances), pick(Endpoints)};
+        request = {"later " + std::to_string(m_nextId++), pick(Instances), pick(Endpoints)};
     }
 
     void share()
     {
         for (Quarantine &each : m_instances) {
             const CrashUpdate update = each.takeUpdate(m_now);
-            m_told.insert(m_told.end(), update.added.begin(), update.added.end());
-            for (const CrashRecord &gone : update.removed)
-                std::erase_if(m_told, [&](const CrashRecord &told) {
-                    return told.digest == gone.digest && told.endpoint == gone.endpoint;
+            m_sharedRecords.insert(m_sharedRecords.end(), update.added.begin(), update.added.end());
+            for (const CrashRecord &removed : update.removed)
+                std::erase_if(m_sharedRecords, [&](const CrashRecord &shared) {
+                    return shared.digest == removed.digest && shared.endpoint == removed.endpoint;
                 });
         }
         for (Quarantine &each : m_instances)
-            each.setShared(m_told);
+            each.setShared(m_sharedRecords);
     }
 
     std::mt19937_64 m_random;
     std::vector<Quarantine> m_instances;
     std::vector<Request> m_harmless;
-    std::vector<CrashRecord> m_told;
-    std::uint64_t m_starts = 0;
-    int m_othersLeft = 2;
+    std::vector<CrashRecord> m_sharedRecords;
+    std::uint64_t m_nextId = 0;
+    int m_otherCrashesLeft = 2;
     Time m_now = Start;
     ScheduleResult m_result;
 };
@@ -453,31 +458,32 @@
 {
     ScheduleResult all;
     for (std::uint64_t seed = 0; seed < count; ++seed) {
-        const ScheduleResult one = Schedule(seed, settings).run();
-        all.harmlessHeld += one.harmlessHeld;
-        all.mostEnds = std::max(all.mostEnds, one.mostEnds);
+        const ScheduleResult result = Schedule(seed, settings).run();
+        all.harmlessQuarantined += result.harmlessQuarantined;
+        all.maxCrashes = std::max(all.maxCrashes, result.maxCrashes);
     }
     return all;
 }
 
 } // namespace
 
-TEST_CASE("in random schedules no harmless request is held, and the guilty one is")
+TEST_CASE("random schedules quarantine the crashing request and no harmless one")
 {
     const ScheduleResult result = runSchedules(100'000);
-    CHECK(result.harmlessHeld == 0);
-    CHECK(result.mostEnds <= QuarantineSettings {}.crashesToForceQuarantine);
+    CHECK(result.harmlessQuarantined == 0);
+    CHECK(result.maxCrashes <= QuarantineSettings {}.crashesToForceQuarantine);
 }
 
-TEST_CASE("the random schedules notice a safeguard that is missing")
+TEST_CASE("random schedules detect weakened settings")
 {
-    QuarantineSettings oneEnd;
-    oneEnd.crashesToQuarantine = 1;
-    CHECK(runSchedules(300, oneEnd).harmlessHeld > 0);
+    QuarantineSettings oneCrash;
+    oneCrash.crashesToQuarantine = 1;
+    CHECK(runSchedules(300, oneCrash).harmlessQuarantined > 0);
     QuarantineSettings nothingExplains;
     nothingExplains.crashesToForceQuarantine = nothingExplains.crashesToQuarantine;
-    CHECK(runSchedules(20'000, nothingExplains).harmlessHeld > 0);
-    QuarantineSettings neverHeld;
-    neverHeld.crashesToQuarantine = neverHeld.crashesToForceQuarantine = 100;
-    CHECK(runSchedules(10, neverHeld).mostEnds > QuarantineSettings {}.crashesToForceQuarantine);
+    CHECK(runSchedules(20'000, nothingExplains).harmlessQuarantined > 0);
+    QuarantineSettings neverQuarantines;
+    neverQuarantines.crashesToQuarantine = neverQuarantines.crashesToForceQuarantine = 100;
+    CHECK(runSchedules(10, neverQuarantines).maxCrashes
+          > QuarantineSettings {}.crashesToForceQuarantine);
 }
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -10,14 +10,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Two engines that hold a half each, twice, and two plain endpoints.
+/// Two pairs of engines, each pair with all layers, and two plain endpoints.
 std::vector<RelayEngine> twoPaths()
 {
     return {{"a1", {0, 4}}, {"a2", {4, 8}}, {"b1", {0, 4}}, {"b2", {4, 8}}, {"p1", {}}, {"p2", {}}};
 }
 
-/// All instances together have \a slack repeats in a window, however many requests.
-RelaySettings onlyRepeats(double slack, Duration window = RelaySettings {}.retryWindow)
+/// All instances together have \a slack retries in a window, whatever the number of requests.
+RelaySettings onlySlack(double slack, Duration window = RelaySettings {}.retryWindow)
 {
     RelaySettings settings = RelayHarness::defaults();
     settings.retryRatio = 0;
@@ -26,7 +26,7 @@
     return settings;
 }
 
-bool goesThrough(const SendRequest &send, const std::string &id)
+bool passesThrough(const SendRequest &send, const std::string &id)
 {
     for (const PathPart &part : send.path)
         if (part.endpoint == id)
@@ -36,10 +36,9 @@
 
 } // namespace
 
-// The caller of a call that may run once sees its connection to the endpoint
-// break after the bytes left. Sent again it would run twice; told "not run" the
-// caller would send it again. Neither may happen.
-TEST_CASE("an unsafe call that may have run is never sent again, nor said not to have run")
+// Guards against a call that runs twice: the connection to the endpoint breaks after the bytes were
+// sent. A retry would run it again, and so would the caller after an answer "not executed".
+TEST_CASE("a non-idempotent call that may have run is not retried and is reported as failed")
 {
     const auto failure = GENERATE(AttemptFailure::Broken, AttemptFailure::InvalidAnswer);
     RelayHarness harness(twoPaths());
@@ -51,9 +50,10 @@
     CHECK(harness.finished(call)->retryAfter == Duration {});
 }
 
-// Nothing left, or the endpoint says that it ran nothing: another endpoint may
-// run it, and when none is left the caller is told that it did not run.
-TEST_CASE("an unsafe call that surely did not run goes elsewhere, then is refused as not run")
+// Guards against the loss of a call that is safe to retry: nothing was sent, or the endpoint
+// reported that it executed nothing.
+TEST_CASE(
+    "a non-idempotent call that did not run is retried elsewhere, then refused as not executed")
 {
     RelayHarness harness(twoPaths());
     const FlightId call = harness.submit(RequestKind::Unsafe);
@@ -67,16 +67,15 @@
     CHECK(harness.finished(call)->retryAfter > Duration {});
 }
 
-TEST_CASE("an unsafe call is sent on a connection that carried nothing before")
+TEST_CASE("a non-idempotent call is sent on a fresh connection")
 {
     RelayHarness harness(twoPaths());
     CHECK(harness.sends(harness.submit(RequestKind::Unsafe)).front().freshConnection);
     CHECK_FALSE(harness.sends(harness.submit(RequestKind::Safe)).front().freshConnection);
 }
 
-// An engine breaks off in the middle of a stream: the caller sees the events go
-// on from another path, after the last one that it got whole.
-TEST_CASE("a broken stream goes on elsewhere after its last whole event")
+// Guards against lost or repeated events when an engine fails in the middle of a stream.
+TEST_CASE("a broken stream resumes on another path after its last complete event")
 {
     RelayHarness harness(twoPaths());
     const FlightId stream = harness.submit(RequestKind::Stream);
@@ -87,12 +86,12 @@
     REQUIRE(sends.size() == 2);
     CHECK(sends[1].afterEvent == 7);
     CHECK(sends[1].attempt > sends[0].attempt);
-    CHECK_FALSE(goesThrough(sends[1], sends[0].endpoint));
+    CHECK_FALSE(passesThrough(sends[1], sends[0].endpoint));
 }
 
-// The engine that takes a broken stream over answers with a sealed failure.
-// Passed on, it would end the caller's stream as if it were complete.
-TEST_CASE("a failure after events were passed breaks the stream off")
+// Guards against a truncated stream that looks complete: the engine that resumes a stream answers
+// with an error, and forwarding it would end the caller's stream normally.
+TEST_CASE("a server error after forwarded events truncates the stream")
 {
     RelayHarness harness(twoPaths());
     const FlightId stream = harness.submit(RequestKind::Stream);
@@ -105,25 +104,24 @@
     CHECK(harness.finished(stream)->outcome == FlightOutcome::Truncated);
 }
 
-// Late events of an attempt that was given up come after the stream went on
-// elsewhere: they must change nothing.
-TEST_CASE("what an abandoned attempt still sends changes nothing")
+// Guards against events of a failed attempt that arrive after the stream resumed elsewhere.
+TEST_CASE("late data of a failed attempt is ignored")
 {
     RelayHarness harness(twoPaths());
     const FlightId stream = harness.submit(RequestKind::Stream);
     REQUIRE(harness.answer(stream, 200));
     harness.forwardEvents(stream, 3);
-    const std::uint32_t old = harness.sends(stream).back().attempt;
+    const std::uint32_t firstAttempt = harness.sends(stream).back().attempt;
     harness.fail(stream, AttemptFailure::Broken);
-    harness.relay.eventsPassed(stream, old, 9, harness.now, harness.actions);
+    harness.relay.eventsPassed(stream, firstAttempt, 9, harness.now, harness.actions);
     CHECK(harness.relay.lastEvent(stream) == 3);
-    harness.relay.streamCompleted(stream, old, harness.now, harness.actions);
+    harness.relay.streamCompleted(stream, firstAttempt, harness.now, harness.actions);
     CHECK_FALSE(harness.passed(stream));
 }
 
-// Many engines die at once. Each stream is sent again once, but all instances
-// together may add only so much load, or those left would fail as well.
-TEST_CASE("repeats stay within the budget")
+// Guards against overload by retries when many engines fail at once: all instances together may
+// only add a bounded load to the engines that are left.
+TEST_CASE("retries stay within the budget")
 {
     RelaySettings settings = RelayHarness::defaults();
     settings.retryRatio = 0.1;
@@ -138,43 +136,42 @@
         harness.forwardEvents(stream, 1);
         harness.fail(stream, AttemptFailure::Broken);
     }
-    std::size_t repeats = 0;
+    std::size_t retries = 0;
     for (const FlightId stream : streams)
-        repeats += harness.sends(stream).size() - 1;
-    CHECK(repeats <= 12 / 4 + 100 / 10);
-    CHECK(repeats >= 3);
+        retries += harness.sends(stream).size() - 1;
+    CHECK(retries <= 12 / 4 + 100 / 10);
+    CHECK(retries >= 3);
 }
 
-// An overloaded fleet rejects one new request after another, and each is sent again.
-// Then the engine of a stream that has run for seconds dies. Its caller would see a
-// broken answer if no repeat was left; the new ones are refused, and come back.
-TEST_CASE("new requests leave repeats for streams that have begun")
+// Guards against new requests that use up the retry budget. An overloaded fleet rejects them one
+// after another; then the engine of a stream fails that has run for seconds. Without a retry its
+// answer would be truncated, while callers of refused requests can retry.
+TEST_CASE("new requests leave retries for started streams")
 {
-    RelayHarness harness(twoPaths(), onlyRepeats(2, milliseconds(3'000)));
+    RelayHarness harness(twoPaths(), onlySlack(2, milliseconds(3'000)));
     const FlightId stream = harness.submit(RequestKind::Stream);
     REQUIRE(harness.answer(stream, 200));
     harness.forwardEvents(stream, 4);
-    for (std::uint64_t event = 5; event < 40; ++event) { // its first window goes by
+    for (std::uint64_t event = 5; event < 40; ++event) { // until the first window is over
         harness.advance(milliseconds(100));
         harness.forwardEvents(stream, event);
     }
-    const FlightId fresh = harness.submit(RequestKind::Stream);
-    harness.answer(fresh, 503, false, true);
-    REQUIRE(harness.sends(fresh).size() == 2);
-    harness.answer(fresh, 503, false, true);
-    REQUIRE(harness.finished(fresh));
-    CHECK(harness.finished(fresh)->outcome == FlightOutcome::NotExecuted);
-    CHECK(harness.finished(fresh)->retryAfter > Duration {});
+    const FlightId newRequest = harness.submit(RequestKind::Stream);
+    harness.answer(newRequest, 503, false, true);
+    REQUIRE(harness.sends(newRequest).size() == 2);
+    harness.answer(newRequest, 503, false, true);
+    REQUIRE(harness.finished(newRequest));
+    CHECK(harness.finished(newRequest)->outcome == FlightOutcome::NotExecuted);
+    CHECK(harness.finished(newRequest)->retryAfter > Duration {});
     harness.fail(stream, AttemptFailure::Broken);
-    harness.advance(milliseconds(400)); // both engines had just no room
+    harness.advance(milliseconds(400)); // both engines are left out after their rejections
     CHECK(harness.sends(stream).size() == 2);
     CHECK_FALSE(harness.finished(stream));
 }
 
-// A stream ran at two engines, all that its route allows, when an engine of its path
-// goes silent and no other path is there. Broken off it would surely be lost to its
-// caller; the silence passes, and the caller gets the rest.
-TEST_CASE("a stream that may not run again is not broken off for an engine's silence")
+// Guards against a needless truncation: a stream ran at two engines, which is the limit of its
+// route, when an engine of its path becomes unresponsive for a while.
+TEST_CASE("a stream that may not run again is not truncated when an engine is unresponsive")
 {
     RelayHarness harness(twoPaths());
     const FlightId stream = harness.submit(RequestKind::Stream);
@@ -184,8 +181,8 @@
     REQUIRE(harness.sends(stream).size() == 2);
     REQUIRE(harness.answer(stream, 200));
     harness.forwardEvents(stream, 4);
-    const std::string silent = harness.sends(stream).back().path.back().endpoint;
-    harness.relay.queryFailed(silent, harness.now, harness.actions);
+    const std::string unresponsive = harness.sends(stream).back().path.back().endpoint;
+    harness.relay.queryFailed(unresponsive, harness.now, harness.actions);
     harness.advance(milliseconds(1500));
     CHECK_FALSE(harness.finished(stream));
     harness.forwardEvents(stream, 5);
@@ -193,10 +190,9 @@
     CHECK(harness.passed(stream));
 }
 
-// An engine in the middle of a path pauses, and no other engine has its layers. Given
-// up for that, the stream would wait for a path that is not there; left alone, it goes
-// on when the engine does.
-TEST_CASE("a stream that has begun is not given up before there is another path")
+// Guards against a stream that is abandoned without an alternative: an engine in the middle of its
+// path pauses, and no other engine holds its layers.
+TEST_CASE("a started stream is not abandoned while there is no other path")
 {
     RelayHarness harness({{"one", {0, 4}}, {"two", {4, 8}}});
     const FlightId stream = harness.submit(RequestKind::Stream);
@@ -210,25 +206,24 @@
     CHECK(harness.passed(stream));
 }
 
-// The engine of a stream dies when all repeats of the window are spent. Its caller
-// waits two seconds for the next event; within these the window moves on, and the
-// stream goes on elsewhere instead of being broken off.
-TEST_CASE("a stream that has begun waits for a repeat while its caller does")
+// Guards against a truncation when the retry budget is exhausted. The caller waits two seconds for
+// the next event, and in that time the window frees a retry.
+TEST_CASE("a started stream without a retry waits until the window frees one")
 {
-    RelayHarness harness(twoPaths(), onlyRepeats(1, milliseconds(2'000)));
-    const auto begin = [&] {
+    RelayHarness harness(twoPaths(), onlySlack(1, milliseconds(2'000)));
+    const auto startStream = [&] {
         const FlightId stream = harness.submit(RequestKind::Stream);
         REQUIRE(harness.answer(stream, 200));
         harness.forwardEvents(stream, 1);
         return stream;
     };
     harness.submit(RequestKind::Stream);
-    harness.advance(milliseconds(2'500)); // the first window of this instance
-    const FlightId other = begin();
+    harness.advance(milliseconds(2'500)); // until the first window of this instance is over
+    const FlightId other = startStream();
     harness.fail(other, AttemptFailure::Broken);
     REQUIRE(harness.sends(other).size() == 2); // the only repeat
     harness.advance(milliseconds(1'300));
-    const FlightId stream = begin();
+    const FlightId stream = startStream();
     harness.fail(stream, AttemptFailure::Broken);
     CHECK(harness.sends(stream).size() == 1);
     harness.advance(milliseconds(1'500));
@@ -236,16 +231,16 @@
     CHECK_FALSE(harness.finished(stream));
 }
 
-// Two of four instances stop in turn. What they spent counts in the same window,
-// so their shares may not go to the others before it is over.
-TEST_CASE("the share of an instance that left is not given out again in the same window")
+// Guards against retries beyond the fleet's budget: two of four instances stop in turn, and what
+// they spent still counts in the window.
+TEST_CASE("the share of an instance that left is not redistributed in the same window")
 {
-    RelayHarness harness(twoPaths(), onlyRepeats(40));
+    RelayHarness harness(twoPaths(), onlySlack(40));
     harness.relay.setInstances(2, 4, harness.now);
-    harness.submit(RequestKind::Stream); // the budget's own first window begins
+    harness.submit(RequestKind::Stream); // starts the first window of the budget
     harness.advance(milliseconds(11'000));
     harness.relay.setInstances(2, 2, harness.now);
-    const auto repeats = [&] {
+    const auto retries = [&] {
         std::size_t count = 0;
         for (int i = 0; i < 30; ++i) {
             const FlightId stream = harness.submit(RequestKind::Stream);
@@ -255,14 +250,14 @@
         }
         return count;
     };
-    CHECK(repeats() <= 10);
+    CHECK(retries() <= 10);
     harness.advance(milliseconds(13'000));
     harness.relay.setInstances(2, 2, harness.now);
-    CHECK(repeats() == 20);
+    CHECK(retries() == 20);
 }
 
-// Two living engines ran it: that is all the route allows. One that is gone
-// does not count, since what it ran is lost.
+// Guards against more attempts than the route allows. Attempts on endpoints that are gone do not
+// count, since their results are lost.
 TEST_CASE("a request runs at no more endpoints than its route allows")
 {
     RelayHarness harness(twoPaths());
@@ -270,16 +265,16 @@
     REQUIRE(harness.answer(stream, 200));
     harness.forwardEvents(stream, 1);
     const std::string first = harness.sends(stream).front().endpoint;
-    const bool gone = GENERATE(false, true);
+    const bool firstDelisted = GENERATE(false, true);
     harness.fail(stream, AttemptFailure::Broken);
     REQUIRE(harness.sends(stream).size() == 2);
-    if (gone)
+    if (firstDelisted)
         harness.remove(first);
     harness.fail(stream, AttemptFailure::Broken);
-    CHECK(harness.sends(stream).size() == (gone ? 3 : 2));
+    CHECK(harness.sends(stream).size() == (firstDelisted ? 3 : 2));
 }
 
-TEST_CASE("a caller that leaves cancels its work at once")
+TEST_CASE("the attempt of a disconnected caller is abandoned at once")
 {
     RelayHarness harness(twoPaths());
     const FlightId stream = harness.submit(RequestKind::Stream);
@@ -290,7 +285,7 @@
     CHECK(harness.sends(stream).size() == 1);
 }
 
-TEST_CASE("what is sent again carries the time that is left")
+TEST_CASE("a retry carries the remaining time")
 {
     RelayHarness harness(twoPaths());
     const FlightId stream = harness.submit(RequestKind::Stream, milliseconds(5000));
@@ -302,8 +297,8 @@
     CHECK(sends[1].timeLeft <= milliseconds(4800));
 }
 
-// Neither the caller's time nor the route's may pass without an answer.
-TEST_CASE("a request is answered when its time or its route's is over")
+// Guards against requests without an answer at the caller's deadline or the route's timeout.
+TEST_CASE("a request is answered when its deadline or its route's timeout passes")
 {
     RelayHarness harness(twoPaths());
     const FlightId caller = harness.submit(RequestKind::Unsafe, milliseconds(800));
@@ -316,7 +311,7 @@
     CHECK(harness.finished(route));
 }
 
-TEST_CASE("a request without a path is refused soon, saying when to come back")
+TEST_CASE("a request without a path is refused within a second, with a retry delay")
 {
     RelayHarness harness({{"a1", {0, 4}}});
     const FlightId stream = harness.submit(RequestKind::Stream);
@@ -328,7 +323,7 @@
 
 namespace {
 
-/// Twelve streams that have begun, and the last engine of the first one's path.
+/// Twelve started streams, and the last engine of the first one's path as the dead engine.
 struct RunningStreams
 {
     explicit RunningStreams(RelayHarness &harness)
@@ -342,17 +337,17 @@
         dead = harness.sends(streams.front()).front().path.back().endpoint;
     }
 
-    /// Those that do not pass through the dead engine go on; each engine that is
-    /// asked says that it does not answer.
+    /// Advances the time. Streams that avoid the dead engine receive events; each queried engine
+    /// reports that the dead one does not answer.
     void advance(RelayHarness &harness, int steps) const
     {
         for (int step = 0; step < steps; ++step) {
             harness.advance(milliseconds(50));
             for (const FlightId stream : streams)
-                if (!goesThrough(harness.sends(stream).back(), dead))
+                if (!passesThrough(harness.sends(stream).back(), dead))
                     harness.forwardEvents(stream, 2 + static_cast<std::uint64_t>(step));
-            for (const std::string &asked : harness.queriedEngines())
-                harness.relay.queryAnswered(asked, {harness.addressOf(dead)}, 1, harness.now,
+            for (const std::string &queried : harness.queriedEngines())
+                harness.relay.queryAnswered(queried, {harness.addressOf(dead)}, 1, harness.now,
                                             harness.actions);
         }
     }
@@ -363,11 +358,10 @@
 
 } // namespace
 
-// An engine in the middle of a path dies silently. The streams through it
-// pause; the first engine says who does not answer it, and is told another
-// path. It does not know the request any more: the stream is sent again within
-// half a second of its last event, the others stay.
-TEST_CASE("streams through an engine that went silent move, others do not")
+// Guards against long pauses when an engine in the middle of a path fails silently. The first
+// engine reports which engine does not answer and is ordered to change the path. Since it no longer
+// knows the request, the stream is retried, within half a second of its last event.
+TEST_CASE("streams through an unresponsive engine are moved, others are not")
 {
     RelayHarness harness(twoPaths());
     const RunningStreams running(harness);
@@ -375,24 +369,24 @@
     REQUIRE_FALSE(harness.queriedEngines().empty());
     for (const FlightId stream : running.streams) {
         INFO("stream " << stream);
-        const bool hit = goesThrough(harness.sends(stream).front(), running.dead);
-        CHECK(harness.pathChanges(stream).size() == (hit ? 1U : 0U));
-        if (hit)
+        const bool affected = passesThrough(harness.sends(stream).front(), running.dead);
+        CHECK(harness.pathChanges(stream).size() == (affected ? 1U : 0U));
+        if (affected)
             harness.answerPathChange(stream, PathReply::Lost);
-        CHECK_FALSE(goesThrough(harness.sends(stream).back(), running.dead));
-        CHECK(harness.sends(stream).size() == (hit ? 2U : 1U));
+        CHECK_FALSE(passesThrough(harness.sends(stream).back(), running.dead));
+        CHECK(harness.sends(stream).size() == (affected ? 2U : 1U));
     }
 }
 
-// The same, but the first engine takes the other path: the caller's stream goes
-// on with no second send, so a dead engine costs none of the few repeats.
-TEST_CASE("a stream whose engine died goes on along another path without being sent again")
+// Guards against the use of retries for a dead engine in the middle of a path: the first engine
+// accepts the new path, so the stream continues in the same attempt.
+TEST_CASE("a stream through a dead engine continues on another path without a retry")
 {
     RelayHarness harness(twoPaths());
     const RunningStreams running(harness);
     running.advance(harness, 8);
     for (const FlightId stream : running.streams) {
-        if (!goesThrough(harness.sends(stream).front(), running.dead))
+        if (!passesThrough(harness.sends(stream).front(), running.dead))
             continue;
         INFO("stream " << stream);
         REQUIRE(harness.pathChanges(stream).size() == 1);
@@ -408,9 +402,9 @@
     CHECK(harness.relay.counts().resent == 0);
 }
 
-// The first engine is silent too: the order to change the path is not answered.
-// The stream may not wait for it until its caller leaves.
-TEST_CASE("a change of path that is not answered ends in another send")
+// Guards against a stream that waits until its caller leaves, because its first engine does not
+// answer the order to change the path.
+TEST_CASE("an unanswered path change is followed by a retry")
 {
     RelayHarness harness(twoPaths());
     const RunningStreams running(harness);
@@ -423,9 +417,8 @@
     CHECK(harness.sends(stream).size() == 2);
 }
 
-// The new path has no room either. The stream is told yet another one before it
-// is sent again, which would cost a repeat.
-TEST_CASE("a change of path that is refused is tried again along another path")
+// Guards against a retry after the new path lacks memory too, while there is a third one.
+TEST_CASE("a refused path change is repeated with another path")
 {
     std::vector<RelayEngine> engines = twoPaths();
     engines.push_back({"c2", {4, 8}});
@@ -443,10 +436,9 @@
     CHECK_FALSE(harness.finished(stream));
 }
 
-// A machine is frozen for four seconds and wakes. All its streams seem silent
-// for that long, but the silence was its own: no engine is suspected, nothing
-// is sent again, nobody is refused.
-TEST_CASE("time that the process did not live through is charged to nobody")
+// Guards against suspected engines, retries and refusals after the process was paused for four
+// seconds, in which all its streams seemed to be silent.
+TEST_CASE("a pause of the process is not counted as a pause of its streams")
 {
     RelayHarness harness(twoPaths());
     std::vector<FlightId> streams;
@@ -465,9 +457,9 @@
     CHECK(harness.queriedEngines().empty());
 }
 
-// The engine was reported as leaving while the request waited for a connection,
-// or the process was paused until the caller's time was over.
-TEST_CASE("right before the bytes leave it is asked again whether they may")
+// Guards against requests sent by an outdated decision: the endpoint started draining while the
+// request waited for a connection, or the process was paused until the deadline.
+TEST_CASE("an attempt may not be sent after its deadline or to a draining endpoint")
 {
     RelayHarness harness(twoPaths());
     const FlightId call = harness.submit(RequestKind::Safe, milliseconds(1000));
@@ -479,9 +471,9 @@
     CHECK_FALSE(harness.relay.maySend(call, send.attempt, harness.now));
 }
 
-// While a connection to the first engine is made, another engine of the path
-// begins to leave: it would get a new request too.
-TEST_CASE("right before the bytes leave all engines of the path are asked for")
+// Guards against a new request for an engine that started draining while the connection to the
+// first engine of the path was made.
+TEST_CASE("an attempt may not be sent if an engine of its path is draining")
 {
     RelayHarness harness(twoPaths());
     const FlightId stream = harness.submit(RequestKind::Stream);
@@ -491,51 +483,50 @@
     CHECK_FALSE(harness.relay.maySend(stream, send.attempt, harness.now));
 }
 
-// Also what goes on elsewhere is new work to the engine that gets it.
-TEST_CASE("an engine that leaves gets nothing new, not even a stream that goes on")
+// Guards against streams that resume on a draining engine: they are new work for it.
+TEST_CASE("a draining engine receives neither new requests nor resumed streams")
 {
     RelayHarness harness(twoPaths());
     const FlightId stream = harness.submit(RequestKind::Stream);
     REQUIRE(harness.answer(stream, 200));
     harness.forwardEvents(stream, 1);
     const bool onA = harness.sends(stream).front().endpoint == "a1";
-    const std::string leaving = onA ? "b1" : "a1";
-    harness.drain(leaving);
+    const std::string draining = onA ? "b1" : "a1";
+    harness.drain(draining);
     harness.fail(stream, AttemptFailure::Broken);
     for (int i = 0; i < 20; ++i) {
         const FlightId other = harness.submit(RequestKind::Stream);
         for (const SendRequest &send : harness.sends(other))
-            CHECK_FALSE(goesThrough(send, leaving));
+            CHECK_FALSE(passesThrough(send, draining));
     }
     for (const SendRequest &send : harness.sends(stream))
-        CHECK_FALSE(goesThrough(send, leaving));
+        CHECK_FALSE(passesThrough(send, draining));
 }
 
-// Engines refuse for want of room, again and again. Each refusal costs one of
-// the few repeats, so such an engine is left alone longer each time.
-TEST_CASE("an engine that goes on refusing is asked less and less often")
+// Guards against the use of retries for engines that reject requests again and again for lack of
+// memory.
+TEST_CASE("an engine that rejects repeatedly is left out for longer each time")
 {
-    EngineTracker book;
+    EngineTracker tracker;
     Time now(std::chrono::hours(1));
     std::vector<Duration> pauses;
     for (int i = 0; i < 4; ++i) {
-        book.refusedBusy("e", now);
+        tracker.refusedBusy("e", now);
         Duration pause {};
-        while (!book.usable("e", now + pause))
+        while (!tracker.usable("e", now + pause))
             pause += milliseconds(10);
         pauses.push_back(pause);
         now += pause;
     }
     CHECK(pauses[1] > pauses[0]);
     CHECK(pauses[3] > pauses[2]);
-    book.resetRefusals("e");
-    book.refusedBusy("e", now);
-    CHECK(book.usable("e", now + pauses[0]));
+    tracker.resetRefusals("e");
+    tracker.refusedBusy("e", now);
+    CHECK(tracker.usable("e", now + pauses[0]));
 }
 
-// An idempotent call to an endpoint that is silent is tried elsewhere while
-// there is time; the caller gets one answer.
-TEST_CASE("a safe call that is not answered goes to another endpoint")
+// Guards against a call that waits for an unresponsive endpoint until its deadline.
+TEST_CASE("an unanswered idempotent call is sent to another endpoint")
 {
     RelayHarness harness(twoPaths());
     const FlightId call = harness.submit(RequestKind::Safe);
@@ -546,29 +537,30 @@
     CHECK(harness.passed(call));
 }
 
-// Guards against a change that is taken for older than the news that all else is as it was.
-TEST_CASE("an engine's new state is taken though its domain is known to be as told since")
+// Guards against a change that is ignored because it is older than the last confirmation that all
+// other states of the domain are unchanged.
+TEST_CASE("an engine's changed state applies although its domain was confirmed unchanged later")
 {
     RelayHarness harness({{"e1", {0, 8}}});
     const auto used = [&] { return harness.relay.engines().load("e1", "near", harness.now).used; };
-    const auto told = [&](double tokens, milliseconds age) {
+    const auto report = [&](double tokens, milliseconds age) {
         EngineReports reports;
         reports.changed.push_back({"e1", tokens, 1, 0, 1, false, harness.now - age});
         reports.asOf["near"] = harness.now;
         harness.relay.applyEngineReports(reports, harness.now, harness.actions);
     };
-    told(1000, milliseconds(100));
+    report(1000, milliseconds(100));
     CHECK(used() == 1000);
     harness.advance(milliseconds(300));
-    told(5000, milliseconds(100));
+    report(5000, milliseconds(100));
     CHECK(used() == 5000);
     harness.advance(milliseconds(300));
-    told(7000, milliseconds(350)); // true before the news of a moment ago, and told late
+    report(7000, milliseconds(350)); // older than the last confirmation
     CHECK(used() == 7000);
 }
 
-// Guards against a state that counts as unknown since nobody had to tell it again.
-TEST_CASE("an engine's state holds as long as its domain is known to be as told")
+// Guards against a state that expires because it did not change and was therefore not sent again.
+TEST_CASE("an engine's state stays valid while its domain is confirmed unchanged")
 {
     RelayHarness harness({{"e1", {0, 8}}});
     EngineReports reports;
@@ -585,22 +577,23 @@
     CHECK_FALSE(harness.relay.engines().load("e1", "near", harness.now).reported);
 }
 
-// Guards against news of an engine's silence that arrive after it was heard again.
-TEST_CASE("late news of silence shut no engine out that has answered since")
+// Guards against reports that arrive after a later answer of the engine, received here or by
+// another instance.
+TEST_CASE("an outdated report of an unresponsive engine is ignored after the engine answered")
 {
     RelayHarness harness({{"engine", {0, 8}}});
-    const Time silentAt = harness.now;
+    const Time unresponsiveAt = harness.now;
     harness.advance(milliseconds(500));
     EngineState state;
     state.id = "engine";
-    const bool heardItself = GENERATE(true, false);
-    if (heardItself) {
+    const bool answeredHere = GENERATE(true, false);
+    if (answeredHere) {
         harness.answer(harness.submit(RequestKind::Stream), 200);
     } else {
         state.at = harness.now;
         harness.relay.applyEngineReports({{state}, {}}, harness.now, harness.actions);
     }
-    state.at = silentAt;
+    state.at = unresponsiveAt;
     state.silent = true;
     harness.relay.applyEngineReports({{state}, {}}, harness.now, harness.actions);
     CHECK(harness.relay.engines().usable("engine", harness.now));
--- a/src/libbalsamloft/requestdigest_test.cpp
+++ b/src/libbalsamloft/requestdigest_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace balsamloft;
 
-TEST_CASE("requests with the same content have the same digest, any other has another one")
+TEST_CASE("requests have equal digests only if their contents are equal")
 {
     const RequestContent content {"team", "POST", "host", "/path/", "body"};
     const std::string digest = requestDigest(content);
@@ -17,8 +17,8 @@
     CHECK(requestDigest({"team", "POST", "host", "/path/", "other"}) != digest);
 }
 
-// Guards against a caller who makes a request that is taken for another team's.
-TEST_CASE("bytes that move from one field to the next make another request")
+// Guards against a caller whose request has the digest of another team's request.
+TEST_CASE("moving bytes from one field to the next changes the digest")
 {
     CHECK(requestDigest({"team", "POST", "host", "/path", "/body"})
           != requestDigest({"team", "POST", "host", "/path/", "body"}));
--- a/src/libbalsamloft/trialpermits_test.cpp
+++ b/src/libbalsamloft/trialpermits_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr Time Start {std::chrono::hours(1)};
 
-/// Instances before one table of rows; what one writes the others learn when told.
+/// Instances that share a table of rows. Each receives the writes of the others by shareRows().
 class Fleet
 {
 public:
@@ -20,10 +20,10 @@
     {
         for (std::size_t i = 0; i < instances; ++i)
             m_instances.emplace_back(TrialSettings {.holder = "holder " + std::to_string(i)});
-        list({"e1", "e2", "e3"});
+        setEndpoints({"e1", "e2", "e3"});
     }
 
-    void list(const std::vector<std::string> &ids)
+    void setEndpoints(const std::vector<std::string> &ids)
     {
         m_fleet.endpoints.clear();
         for (const std::string &id : ids) {
@@ -33,8 +33,9 @@
         }
     }
 
-    /// The instance asks, and the store answers; \a answerLost: the instance hears nothing.
-    TrialAnswer ask(std::size_t instance, const TrialRequest &request, bool answerLost = false)
+    /// Requests a permit for an instance; \a answerLost: it does not receive the store's answer.
+    TrialAnswer requestPermit(std::size_t instance, const TrialRequest &request,
+                              bool answerLost = false)
     {
         TrialPermits &permits = m_instances[instance];
         const auto decision = permits.decide(request, m_fleet, now);
@@ -46,16 +47,16 @@
         return permits.answer(request, change, done, now);
     }
 
-    void end(std::size_t instance, const std::string &digest, TrialOutcome how)
+    void finish(std::size_t instance, const std::string &digest, TrialOutcome outcome)
     {
-        const auto change = m_instances[instance].release(digest, how);
+        const auto change = m_instances[instance].release(digest, outcome);
         if (!change)
             return;
         const bool done = write(*change);
         m_instances[instance].recordWrite(*change, done, m_store.version(), {});
     }
 
-    void tellAll()
+    void shareRows()
     {
         for (TrialPermits &each : m_instances)
             each.setRows(m_store.rows(), crashes);
@@ -81,103 +82,104 @@
 
 } // namespace
 
-// Guards against two instances that do not know of each other's try yet.
-TEST_CASE("of instances that ask at once, one is permitted")
+// Guards against two trials by instances that have not yet received each other's rows.
+TEST_CASE("of two instances that request a permit at once, one receives it")
 {
     Fleet fleet(3);
-    CHECK(fleet.ask(0, {"bad", "e1"}).granted);
-    const TrialAnswer second = fleet.ask(1, {"bad", "e2"});
+    CHECK(fleet.requestPermit(0, {"bad", "e1"}).granted);
+    const TrialAnswer second = fleet.requestPermit(1, {"bad", "e2"});
     CHECK_FALSE(second.granted);
     CHECK_FALSE(second.endpointBusy);
     CHECK(second.wait >= seconds(1));
 }
 
-// Guards against an end that accuses two requests of which only one was to be tried.
-TEST_CASE("at one endpoint one request is tried at a time")
+// Guards against a crash that is attributed to two requests of which only one was on trial.
+TEST_CASE("an endpoint has one trial at a time")
 {
     Fleet fleet(2);
-    REQUIRE(fleet.ask(0, {"bad", "e1"}).granted);
-    const TrialAnswer second = fleet.ask(1, {"beside", "e1"});
+    REQUIRE(fleet.requestPermit(0, {"bad", "e1"}).granted);
+    const TrialAnswer second = fleet.requestPermit(1, {"beside", "e1"});
     CHECK_FALSE(second.granted);
     CHECK(second.endpointBusy);
-    fleet.tellAll();
-    CHECK(fleet.ask(1, {"beside", "e1"}).endpointBusy);
-    CHECK(fleet.ask(1, {"beside", "e2"}).granted);
+    fleet.shareRows();
+    CHECK(fleet.requestPermit(1, {"beside", "e1"}).endpointBusy);
+    CHECK(fleet.requestPermit(1, {"beside", "e2"}).granted);
 }
 
-// Guards against a content that is never tried again since its holder was killed.
-TEST_CASE("a try whose holder is gone may be made again once its time is over")
+// Guards against a content that stays blocked because the holder of its permit was killed.
+TEST_CASE("a trial of a crashed holder may be repeated after its permit expired")
 {
     Fleet fleet(2);
-    REQUIRE(fleet.ask(0, {"beside", "e1"}).granted);
-    fleet.tellAll();
+    REQUIRE(fleet.requestPermit(0, {"beside", "e1"}).granted);
+    fleet.shareRows();
     fleet.now += seconds(9);
-    CHECK_FALSE(fleet.ask(1, {"beside", "e2"}).granted);
+    CHECK_FALSE(fleet.requestPermit(1, {"beside", "e2"}).granted);
     fleet.now += seconds(2);
-    CHECK(fleet.ask(1, {"beside", "e2"}).granted);
+    CHECK(fleet.requestPermit(1, {"beside", "e2"}).granted);
 }
 
-// Guards against ends that nobody counts since they take their witnesses along.
-TEST_CASE("the end of an endpoint is counted when who tried there was killed too")
+// Guards against crashes that are not recorded because the instance that ran the trial is gone too.
+TEST_CASE("the crash of an endpoint is recorded although the permit's holder was killed")
 {
     Fleet fleet(2);
-    REQUIRE(fleet.ask(0, {"bad", "e1"}).granted);
-    fleet.tellAll();
-    fleet.list({"e2", "e3"});
+    REQUIRE(fleet.requestPermit(0, {"bad", "e1"}).granted);
+    fleet.shareRows();
+    fleet.setEndpoints({"e2", "e3"});
     fleet.now += seconds(11);
-    CHECK_FALSE(fleet.ask(1, {"bad", "e2"}).granted);
+    CHECK_FALSE(fleet.requestPermit(1, {"bad", "e2"}).granted);
     REQUIRE(fleet.crashes.size() == 1);
     CHECK(fleet.crashes.front().endpoint == "e1");
-    CHECK(fleet.ask(1, {"bad", "e2"}).granted);
+    CHECK(fleet.requestPermit(1, {"bad", "e2"}).granted);
 }
 
-// Guards against an instance that takes a lost answer for a refusal by the store.
-TEST_CASE("a permit whose answer was lost is used by nobody until its time is over")
+// Guards against an instance that treats a lost answer as a failed condition of the store.
+TEST_CASE("a permit whose answer was lost is not used before it expires")
 {
     Fleet fleet(2);
-    CHECK_FALSE(fleet.ask(0, {"bad", "e1"}, true).granted);
-    CHECK_FALSE(fleet.ask(0, {"bad", "e1"}).granted);
-    CHECK_FALSE(fleet.ask(1, {"bad", "e2"}).granted);
+    CHECK_FALSE(fleet.requestPermit(0, {"bad", "e1"}, true).granted);
+    CHECK_FALSE(fleet.requestPermit(0, {"bad", "e1"}).granted);
+    CHECK_FALSE(fleet.requestPermit(1, {"bad", "e2"}).granted);
 }
 
-// Guards against a request that is rejected everywhere and reaches ever more endpoints.
-TEST_CASE("a request that is as good as found out has few tries left, as long as none is well")
+// Guards against a request that is rejected everywhere and is sent to more and more endpoints.
+TEST_CASE("a limited request has three trials unless one succeeds")
 {
     Fleet fleet(2);
     for (int i = 0; i < 3; ++i) {
-        REQUIRE(fleet.ask(0, {"bad", "e1", true}).granted);
-        fleet.end(0, "bad", TrialOutcome::Inconclusive);
+        REQUIRE(fleet.requestPermit(0, {"bad", "e1", true}).granted);
+        fleet.finish(0, "bad", TrialOutcome::Inconclusive);
     }
-    const TrialAnswer fourth = fleet.ask(1, {"bad", "e2", true});
-    fleet.tellAll();
-    CHECK_FALSE(fleet.ask(1, {"bad", "e2", true}).granted);
+    const TrialAnswer fourth = fleet.requestPermit(1, {"bad", "e2", true});
+    fleet.shareRows();
+    CHECK_FALSE(fleet.requestPermit(1, {"bad", "e2", true}).granted);
     CHECK_FALSE(fourth.granted);
-    CHECK(fleet.ask(1, {"bad", "e2", true}).wait > minutes(9));
+    CHECK(fleet.requestPermit(1, {"bad", "e2", true}).wait > minutes(9));
 }
 
-TEST_CASE("a try that reached no endpoint does not count, and one that went well ends all")
+TEST_CASE("an unsent trial does not count, and a success resets the count")
 {
     Fleet fleet(2);
     for (int i = 0; i < 5; ++i) {
-        REQUIRE(fleet.ask(0, {"beside", "e1", true}).granted);
-        fleet.end(0, "beside", TrialOutcome::NotSent);
+        REQUIRE(fleet.requestPermit(0, {"beside", "e1", true}).granted);
+        fleet.finish(0, "beside", TrialOutcome::NotSent);
     }
-    REQUIRE(fleet.ask(0, {"beside", "e1", true}).granted);
-    fleet.end(0, "beside", TrialOutcome::Succeeded);
-    fleet.tellAll();
-    CHECK(fleet.ask(1, {"beside", "e1", true}).granted);
+    REQUIRE(fleet.requestPermit(0, {"beside", "e1", true}).granted);
+    fleet.finish(0, "beside", TrialOutcome::Succeeded);
+    fleet.shareRows();
+    CHECK(fleet.requestPermit(1, {"beside", "e1", true}).granted);
 }
 
-// Guards against who wakes up late and takes back what another was permitted meanwhile.
-TEST_CASE("a permit that ran out is not given back")
+// Guards against a paused instance that resumes and releases the permit another one received
+// meanwhile.
+TEST_CASE("an expired permit is not released")
 {
     Fleet fleet(2);
-    REQUIRE(fleet.ask(0, {"bad", "e1"}).granted);
-    fleet.tellAll();
+    REQUIRE(fleet.requestPermit(0, {"bad", "e1"}).granted);
+    fleet.shareRows();
     fleet.now += seconds(11);
-    REQUIRE(fleet.ask(1, {"bad", "e2"}).granted);
-    fleet.tellAll();
-    fleet.end(0, "bad", TrialOutcome::Inconclusive);
-    fleet.tellAll();
-    CHECK_FALSE(fleet.ask(0, {"bad", "e3"}).granted);
+    REQUIRE(fleet.requestPermit(1, {"bad", "e2"}).granted);
+    fleet.shareRows();
+    fleet.finish(0, "bad", TrialOutcome::Inconclusive);
+    fleet.shareRows();
+    CHECK_FALSE(fleet.requestPermit(0, {"bad", "e3"}).granted);
 }
