--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -273,7 +273,7 @@
      "return endpointCount < flight.request.route->maxAttempts;", "return endpointCount < 1000;",
      "relay_test: a request runs at no more endpoints than its route allows"),
     ("pauses of the process", "src/libbalsamloft/relaywatch.cpp",
-     "if (m_lastTick != Time {} && lost > m_settings.maxTickGap)", "if (false)",
+     "if (m_lastTick != Time {} && pause > m_settings.maxTickGap)", "if (false)",
      "relay_test: a pause of the process is not counted as a pause of its streams"),
     ("checked before complete requests are sent", "src/libbalsamloft/relay.cpp",
      "return endpoint && !endpoint->draining;", "return true;",
--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -150,7 +150,7 @@
     m_out.append(size.data(), static_cast<std::size_t>(end - size.data()));
     m_out.append("\r\n").append(whole).append("\r\n");
     RelayActions actions;
-    m_server.relay().eventsPassed(*m_flight, m_attempt, m_events->lastId(), now, actions);
+    m_server.relay().eventsForwarded(*m_flight, m_attempt, m_events->lastId(), now, actions);
     m_server.run(std::move(actions));
     flush();
 }
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -362,7 +362,7 @@
         } else if (const auto *abandon = std::get_if<AbandonAttempt>(&action)) {
             if (const auto session = sessionOf(abandon->flight))
                 session->abandonAttempt();
-        } else if (const auto *pass = std::get_if<PassAnswer>(&action)) {
+        } else if (const auto *pass = std::get_if<ForwardAnswer>(&action)) {
             if (const auto session = sessionOf(pass->flight))
                 session->passAnswer();
         } else if (const auto *end = std::get_if<FinishFlight>(&action)) {
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -8,8 +8,8 @@
 
 constexpr Duration TickInterval {50'000};
 constexpr Duration NetworkDelay {500}; ///< one way
-constexpr Duration StallTimeout {
-    2'500'000}; ///< then an engine drops a request that waits for another engine
+/// After this time, an engine drops a request that waits for another engine.
+constexpr Duration StallTimeout {2'500'000};
 constexpr Duration QueryTimeout {450'000};
 constexpr std::uint32_t Layers = 8;
 constexpr std::uint32_t ManyRetries = 1000;
@@ -249,8 +249,8 @@
     for (const RelayAction &action : actions) {
         if (const auto *sent = std::get_if<SendRequest>(&action))
             send(instance, *sent);
-        else if (const auto *passing = std::get_if<PassAnswer>(&action))
-            passed(instance, passing->flight);
+        else if (const auto *forward = std::get_if<ForwardAnswer>(&action))
+            passed(instance, forward->flight);
         else if (const auto *finish = std::get_if<FinishFlight>(&action))
             finished(instance, *finish);
         else if (const auto *query = std::get_if<QueryEngine>(&action))
@@ -361,9 +361,9 @@
         after(NetworkDelay * 2, [this, run] { fail(run, AttemptFailure::NotSent); });
         return;
     }
-    const auto reading = timeToStart(m_engines[run->engine]);
-    if (reading)
-        after(NetworkDelay + *reading, [this, run] { begin(run); });
+    const auto startDelay = timeToStart(m_engines[run->engine]);
+    if (startDelay)
+        after(NetworkDelay + *startDelay, [this, run] { start(run); });
     else
         after(NetworkDelay * 2, [this, run] { reject(run); });
 }
@@ -373,10 +373,10 @@
 {
     if (m_settings.prefillTime == Duration {})
         return between(40'000, 400'000);
-    const Time begins = std::max(engine.busyUntil, m_now);
-    if (begins - m_now > m_settings.maxWait)
+    const Time startsAt = std::max(engine.busyUntil, m_now);
+    if (startsAt - m_now > m_settings.maxWait)
         return std::nullopt;
-    engine.busyUntil = begins + m_settings.prefillTime;
+    engine.busyUntil = startsAt + m_settings.prefillTime;
     return engine.busyUntil - m_now;
 }
 
@@ -410,14 +410,14 @@
     });
 }
 
-void CrashSimulation::begin(const std::shared_ptr<Run> &run)
+void CrashSimulation::start(const std::shared_ptr<Run> &run)
 {
     if (run->finished || isStopped(*run))
         return;
     if (run->next && m_engines[*run->next].crashed)
         run->stalled = true;
     else if (run->crashing)
-        return after(between(30'000, 100'000), [this, run] { crashUnder(run); });
+        return after(between(30'000, 100'000), [this, run] { applyCrash(run); });
     if (run->stalled)
         return;
     AnswerHead head;
@@ -431,7 +431,7 @@
 
 /// Crashes an engine as the effect of the run's request, also if the attempt was abandoned after
 /// the engine started it.
-void CrashSimulation::crashUnder(const std::shared_ptr<Run> &run)
+void CrashSimulation::applyCrash(const std::shared_ptr<Run> &run)
 {
     const bool middle = m_settings.crashKind == CrashKind::CrashesMiddle;
     if (isStopped(*run)
@@ -499,18 +499,19 @@
                    && run->attempt == change.attempt;
         });
         const std::size_t next = engineOf(change.path[1].endpoint);
-        const bool taken = found != m_runs.end() && !isStopped(**found) && !m_engines[next].crashed;
-        if (taken) {
+        const bool accepted =
+            found != m_runs.end() && !isStopped(**found) && !m_engines[next].crashed;
+        if (accepted) {
             const std::shared_ptr<Run> run = *found;
             run->next = next;
             run->stalled = false;
             if (run->crashing)
                 m_crashingSends[run->digest].push_back(m_now);
-            after(between(40'000, 200'000), [this, run] { begin(run); });
+            after(between(40'000, 200'000), [this, run] { start(run); });
         }
         step(instance, [&](Relay &relay, RelayActions &actions) {
             relay.pathChanged(change.flight, change.attempt,
-                              taken ? PathReply::Accepted : PathReply::Lost, {}, m_now, actions);
+                              accepted ? PathReply::Accepted : PathReply::Lost, {}, m_now, actions);
         });
     });
 }
@@ -524,7 +525,7 @@
     run->events += 1;
     caller->second.eventsLeft -= 1;
     step(run->instance, [&](Relay &relay, RelayActions &actions) {
-        relay.eventsPassed(run->flight, run->attempt, m_nextNumber++, m_now, actions);
+        relay.eventsForwarded(run->flight, run->attempt, m_nextNumber++, m_now, actions);
         if (caller->second.eventsLeft == 0) {
             run->finished = true;
             relay.streamCompleted(run->flight, run->attempt, m_now, actions);
@@ -557,8 +558,8 @@
         m_engines[engine].listed = false;
         publishFleet();
     });
-    const Duration back = m_engines[engine].hangs ? Duration(1) : m_settings.restartDelay;
-    after(back, [this, domain = m_engines[engine].domain, layers = m_engines[engine].layers] {
+    const Duration delay = m_engines[engine].hangs ? Duration(1) : m_settings.restartDelay;
+    after(delay, [this, domain = m_engines[engine].domain, layers = m_engines[engine].layers] {
         startEngine(domain, layers);
     });
 }
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -157,8 +157,8 @@
     void submit(std::size_t instance, Caller caller);
     void act(std::size_t instance, RelayActions actions);
     void send(std::size_t instance, const SendRequest &send);
-    void begin(const std::shared_ptr<Run> &run);
-    void crashUnder(const std::shared_ptr<Run> &run);
+    void start(const std::shared_ptr<Run> &run);
+    void applyCrash(const std::shared_ptr<Run> &run);
     void hang(std::size_t engine);
     void crashMiddle(std::size_t engine);
     void changePath(std::size_t instance, const ChangePath &change);
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -623,7 +623,7 @@
         }
         caller.lastEventAt = m_now;
         m_tokens += m_service.model->tokensPerPass;
-        relay.eventsPassed(run.flight, run.attempt, caller.events, m_now, actions);
+        relay.eventsForwarded(run.flight, run.attempt, caller.events, m_now, actions);
         if (run.made >= run.answer) {
             relay.streamCompleted(run.flight, run.attempt, m_now, actions);
             caller.over = true;
--- a/src/fakes/relayharness.cpp
+++ b/src/fakes/relayharness.cpp
@@ -115,19 +115,19 @@
 }
 
 bool RelayHarness::answer(FlightId flight, int status, bool provenExecuted, bool notExecuted,
-                          std::string_view at)
+                          std::string_view faultyAddress)
 {
     AnswerHead head;
     head.status = status;
     head.provenExecuted = provenExecuted;
     head.notExecuted = notExecuted;
-    head.faultyAddress = at;
+    head.faultyAddress = faultyAddress;
     return relay.answered(flight, sends(flight).back().attempt, head, now, actions);
 }
 
 void RelayHarness::forwardEvents(FlightId flight, std::uint64_t lastEvent)
 {
-    relay.eventsPassed(flight, sends(flight).back().attempt, lastEvent, now, actions);
+    relay.eventsForwarded(flight, sends(flight).back().attempt, lastEvent, now, actions);
 }
 
 void RelayHarness::fail(FlightId flight, AttemptFailure failure)
@@ -211,7 +211,7 @@
 
 bool RelayHarness::passed(FlightId flight) const
 {
-    return !actionsOf<PassAnswer>(actions, flight).empty();
+    return !actionsOf<ForwardAnswer>(actions, flight).empty();
 }
 
 std::size_t RelayHarness::abandoned(FlightId flight) const
--- a/src/fakes/relayharness.h
+++ b/src/fakes/relayharness.h
@@ -41,7 +41,7 @@
     // Events from endpoints
 
     bool answer(FlightId flight, int status, bool provenExecuted = true, bool notExecuted = false,
-                std::string_view at = {});
+                std::string_view faultyAddress = {});
     void forwardEvents(FlightId flight, std::uint64_t lastEvent);
     void fail(FlightId flight, AttemptFailure failure);
     void completeStream(FlightId flight);
--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -188,7 +188,7 @@
     void add(const std::string &digest, const std::string &endpoint, Crash crash);
     void remove(const std::string &digest, const std::string &endpoint);
     void removeExpired(Time now, CrashUpdate &update);
-    bool evictOldest();
+    bool ensureSpace();
     bool shouldPublish(const Crashes &crashes, const Crash &crash, Time now) const;
 
     QuarantineSettings m_settings;
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -76,7 +76,7 @@
 };
 
 /// Forward the endpoint's answer to the caller unchanged. The flight is finished.
-struct PassAnswer
+struct ForwardAnswer
 {
     FlightId flight = 0;
 };
@@ -146,8 +146,9 @@
     TrialOutcome outcome = TrialOutcome::Inconclusive;
 };
 
-using RelayAction = std::variant<SendRequest, AbandonAttempt, PassAnswer, FinishFlight, QueryEngine,
-                                 ChangePath, PublishCrashes, RequestTrial, FinishTrial>;
+using RelayAction =
+    std::variant<SendRequest, AbandonAttempt, ForwardAnswer, FinishFlight, QueryEngine, ChangePath,
+                 PublishCrashes, RequestTrial, FinishTrial>;
 using RelayActions = std::vector<RelayAction>;
 
 /// Settings of a Relay.
@@ -164,7 +165,8 @@
     Duration suspectPause {120'000}; ///< pause that moves a stream off a suspected engine
     Duration startTimeout {1'700'000}; ///< until the first event; then the request is moved
     Duration stallTimeout {1'200'000}; ///< pause that moves a stream without a suspected engine
-    Duration rerunTimeout {1'700'000}; ///< wait for a path without events, once it may have run
+    /// How long a request without events waits for a path, if it may have run before.
+    Duration rerunTimeout {1'700'000};
     /// How long a started stream waits for a path. Callers leave after a pause of two seconds
     /// or more; a stream truncated a few tenths earlier is lost to a caller that still waits.
     Duration resumeTimeout {2'500'000};
@@ -175,7 +177,7 @@
     double streamWaitShare = 1.6; ///< the same for a stream that waits for a path
     Duration maxTickGap {300'000}; ///< a longer gap between ticks means the process was paused
     Duration retryAfter {700'000}; ///< mean delay that refused callers are given
-    std::uint32_t extraSends = 2; ///< sends beyond maxAttempts when none may have run
+    std::uint32_t extraSends = 2; ///< sends beyond maxAttempts, if not executed
     /// A request that produces events on one endpoint for this long is not the cause of crashes.
     Duration harmlessAfter {1'000'000};
     Duration trialRetryInterval {200'000}; ///< after a trial was refused for a busy endpoint
@@ -221,8 +223,8 @@
                   RelayActions &actions);
 
     /// Complete events were forwarded to the caller; \a lastEvent is the id of the last one.
-    void eventsPassed(FlightId id, std::uint32_t attempt, std::optional<std::uint64_t> lastEvent,
-                      Time now, RelayActions &actions);
+    void eventsForwarded(FlightId id, std::uint32_t attempt, std::optional<std::uint64_t> lastEvent,
+                         Time now, RelayActions &actions);
 
     /// The engine marked the stream as complete.
     void streamCompleted(FlightId id, std::uint32_t attempt, Time now, RelayActions &actions);
@@ -377,7 +379,8 @@
     void resolveUnconfirmed(Time now);
     void queryUnconfirmed(Time now, RelayActions &actions);
     void publishCrashes(Time now, RelayActions &actions);
-    void passAnswer(FlightId id, Flight &flight, bool succeeded, Time now, RelayActions &actions);
+    void forwardAnswer(FlightId id, Flight &flight, bool succeeded, Time now,
+                       RelayActions &actions);
 
     bool worthMoving(const Flight &flight, Time now);
 
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -31,11 +31,11 @@
         m_digestsByEndpoint.erase(digests);
 }
 
-/// Evicts the oldest request with a single crash if the table is full. A caller that sends
+/// Evicts the oldest request with a single crash if the table is full. So a caller that sends
 /// many different requests to crashing endpoints can neither evict requests with several
 /// crashes nor prevent new ones from being stored.
 /// \return whether there is space for another request.
-bool Quarantine::evictOldest()
+bool Quarantine::ensureSpace()
 {
     if (m_requests.size() < m_settings.maxDigests)
         return true;
@@ -61,7 +61,7 @@
     const auto known = m_requests.find(digest);
     if (known != m_requests.end() && known->second.contains(endpoint))
         return;
-    if (known != m_requests.end() || evictOldest())
+    if (known != m_requests.end() || ensureSpace())
         add(digest, endpoint, crash);
 }
 
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// An endpoint sends this status before it executes anything.
+/// With this status, an endpoint rejects a request before it executes anything.
 constexpr int Misdirected = 421;
 constexpr int FirstServerError = 500;
 
-/// A rejection after this time is not due to a lack of memory: the faulty engine is dead.
+/// A rejection that takes this long is not due to a lack of memory: the faulty engine is dead.
 constexpr Duration StalledRejection {1'000'000};
 
 /// Share of the slack that a previous process of this instance may just have used.
@@ -272,13 +272,13 @@
     const auto &model = service(flight).model;
     if (!model)
         return;
-    const double pipeMs =
+    const double linkMs =
         model->crossingMs(flight.request.promptTokens + flight.request.answerTokens);
     const FleetEndpoint *from = nullptr;
     for (const PathPart &part : flight.path) {
         const FleetEndpoint *to = m_fleet->find(part.endpoint);
         if (from && to && from->domain != to->domain)
-            m_engines.recordTransfer(from->domain, to->domain, pipeMs, now);
+            m_engines.recordTransfer(from->domain, to->domain, linkMs, now);
         from = to;
     }
 }
@@ -315,7 +315,7 @@
         return finish(id, outcomeOf(flight, FlightOutcome::TimedOut), "deadline exceeded", actions);
     if (blockIfSuspected(id, flight, now, actions))
         return;
-    // Called at each tick while the flight waits: does not search a path without a retry.
+    // This runs at each tick while the flight waits: avoid the path search without a retry.
     if (flight.owesRetry && !budget(flight).canWithdraw(now))
         return;
     SendRequest send;
@@ -531,11 +531,12 @@
         finish(id, FlightOutcome::Truncated, "server error from " + flight->endpoint, actions);
         return false;
     }
-    passAnswer(id, *flight, !failed, now, actions);
+    forwardAnswer(id, *flight, !failed, now, actions);
     return false;
 }
 
-void Relay::passAnswer(FlightId id, Flight &flight, bool succeeded, Time now, RelayActions &actions)
+void Relay::forwardAnswer(FlightId id, Flight &flight, bool succeeded, Time now,
+                          RelayActions &actions)
 {
     if (succeeded)
         m_quarantine.requestSucceeded(flight.request.digest, now);
@@ -543,11 +544,11 @@
     endAttempt(flight);
     m_flights.erase(id);
     m_counts.passed += 1;
-    actions.push_back(PassAnswer {id});
+    actions.push_back(ForwardAnswer {id});
 }
 
-void Relay::eventsPassed(FlightId id, std::uint32_t attempt, std::optional<std::uint64_t> lastEvent,
-                         Time now, RelayActions &actions)
+void Relay::eventsForwarded(FlightId id, std::uint32_t attempt,
+                            std::optional<std::uint64_t> lastEvent, Time now, RelayActions &actions)
 {
     Flight *flight = current(id, attempt);
     if (!flight)
@@ -564,7 +565,7 @@
     Flight *flight = current(id, attempt);
     if (!flight)
         return;
-    passAnswer(id, *flight, true, now, actions);
+    forwardAnswer(id, *flight, true, now, actions);
 }
 
 void Relay::callerGone(FlightId id, Time now, RelayActions &actions)
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -113,7 +113,7 @@
     harness.forwardEvents(stream, 3);
     const std::uint32_t firstAttempt = harness.sends(stream).back().attempt;
     harness.fail(stream, AttemptFailure::Broken);
-    harness.relay.eventsPassed(stream, firstAttempt, 9, harness.now, harness.actions);
+    harness.relay.eventsForwarded(stream, firstAttempt, 9, harness.now, harness.actions);
     CHECK(harness.relay.lastEvent(stream) == 3);
     harness.relay.streamCompleted(stream, firstAttempt, harness.now, harness.actions);
     CHECK_FALSE(harness.passed(stream));
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -15,7 +15,7 @@
         return;
     flight.failedEarly = true;
     m_quarantine.attemptBroken(flight.request.digest, flight.endpoint, now);
-    // An earlier query cannot detect this crash: queries the endpoint at once.
+    // Allows a new query at once, since an earlier one cannot detect this crash.
     m_queriedAt.erase(flight.endpoint);
     queryEngine(flight.endpoint, now, actions);
 }
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -21,8 +21,8 @@
 
 void Relay::queryEngine(const std::string &endpoint, Time now, RelayActions &actions)
 {
-    const auto [it, fresh] = m_queriedAt.try_emplace(endpoint, now);
-    if (!fresh && now - it->second < m_settings.queryInterval)
+    const auto [it, inserted] = m_queriedAt.try_emplace(endpoint, now);
+    if (!inserted && now - it->second < m_settings.queryInterval)
         return;
     it->second = now;
     if (const FleetEndpoint *found = m_fleet->find(endpoint))
@@ -74,14 +74,14 @@
 }
 
 /// Discounts the time that this process was paused. All its streams seem to have paused for that
-/// time; counted against the engines, the pause would make all of them suspected.
+/// time, so that all their engines would be suspected.
 void Relay::discountPause(Time now)
 {
-    const Duration lost = now - m_lastTick;
-    if (m_lastTick != Time {} && lost > m_settings.maxTickGap)
+    const Duration pause = now - m_lastTick;
+    if (m_lastTick != Time {} && pause > m_settings.maxTickGap)
         for (auto &[id, flight] : m_flights) {
-            flight.sentAt += std::min(lost, now - flight.sentAt);
-            flight.progressAt += std::min(lost, now - flight.progressAt);
+            flight.sentAt += std::min(pause, now - flight.sentAt);
+            flight.progressAt += std::min(pause, now - flight.progressAt);
         }
     m_lastTick = m_flights.empty() ? Time {} : now;
 }
@@ -126,14 +126,14 @@
     if (it == m_flights.end() || it->second.state != State::Waiting)
         return;
     const Duration waited = now - flight.waitingSince;
-    const auto hold = Duration(static_cast<std::int64_t>(
+    const auto maxWait = Duration(static_cast<std::int64_t>(
         static_cast<double>(flight.request.route->targetLatency.count())
         * (service(flight).model ? m_settings.streamWaitShare : m_settings.callWaitShare)));
     const Duration paused = now - flight.progressAt;
-    const bool over = flight.eventsForwarded         ? paused >= m_settings.resumeTimeout
-                      : !flight.mayHaveRunAt.empty() ? paused >= m_settings.rerunTimeout
-                                                     : waited >= hold;
-    if (!over)
+    const bool expired = flight.eventsForwarded         ? paused >= m_settings.resumeTimeout
+                         : !flight.mayHaveRunAt.empty() ? paused >= m_settings.rerunTimeout
+                                                        : waited >= maxWait;
+    if (!expired)
         return;
     const FlightOutcome outcome = outcomeOf(flight, FlightOutcome::Failed);
     std::string reason = flight.lastReason;
@@ -190,9 +190,9 @@
         flight.state == State::Streaming ? m_settings.stallTimeout : m_settings.startTimeout;
     if (idempotent && pause >= timeout + expected && worthMoving(flight, now))
         return abandonAndRetry(id, flight, "stream stalled", now, actions);
-    const auto patience =
+    const auto queryPause =
         Duration(static_cast<std::int64_t>(expected.count() * m_settings.queryAfterGaps));
-    if (pause >= std::max(m_settings.queryAfterPause, patience))
+    if (pause >= std::max(m_settings.queryAfterPause, queryPause))
         queryEngine(flight.endpoint, now, actions);
 }
 
