--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -23,7 +23,7 @@
 /// Sends later than DetectionDelay that are tolerated, as trials.
 constexpr std::size_t MaxLateSends = 3;
 
-FlightId submitBad(RelayHarness &harness, RequestKind kind = RequestKind::Stream)
+FlightId submitSuspect(RelayHarness &harness, RequestKind kind = RequestKind::Stream)
 {
     return harness.submit(kind, Duration(20'000'000), "bad");
 }
@@ -258,7 +258,7 @@
 TEST_CASE("a crash during an abandoned attempt counts against the request")
 {
     RelayHarness harness(completeEngines());
-    const FlightId flight = submitBad(harness);
+    const FlightId flight = submitSuspect(harness);
     const std::string engine = harness.sends(flight).back().endpoint;
     harness.relay.callerGone(flight, harness.now, harness.actions);
     harness.advance(milliseconds(250));
@@ -273,7 +273,7 @@
     RelayHarness harness({{"e1", {0, 8}}});
     const FlightId other = harness.submit(RequestKind::Stream);
     REQUIRE(harness.answer(other, 200));
-    const FlightId flight = submitBad(harness);
+    const FlightId flight = submitSuspect(harness);
     harness.fail(flight, AttemptFailure::Broken);
     harness.advance(milliseconds(1));
     harness.forwardEvents(other, 1);
@@ -288,7 +288,7 @@
 TEST_CASE("an unanswered query does not count as a crash")
 {
     RelayHarness harness(completeEngines());
-    const FlightId flight = submitBad(harness);
+    const FlightId flight = submitSuspect(harness);
     const std::string engine = harness.sends(flight).back().endpoint;
     harness.fail(flight, AttemptFailure::Broken);
     harness.relay.queryFailed(engine, harness.now, harness.actions, false);
@@ -299,7 +299,7 @@
 TEST_CASE("a crash in the middle of the path does not count after the first event")
 {
     RelayHarness harness({{"first", {0, 4}}, {"middle", {4, 8}}, {"other", {4, 8}}});
-    const FlightId flight = submitBad(harness);
+    const FlightId flight = submitSuspect(harness);
     REQUIRE(harness.sends(flight).back().path.size() == 2);
     const std::string middle = harness.sends(flight).back().path[1].endpoint;
     REQUIRE(harness.answer(flight, 200));
@@ -318,7 +318,7 @@
 TEST_CASE("the shutdown of a draining engine does not count as a crash")
 {
     RelayHarness harness(completeEngines());
-    const FlightId flight = submitBad(harness);
+    const FlightId flight = submitSuspect(harness);
     const std::string engine = harness.sends(flight).back().endpoint;
     harness.drain(engine);
     harness.fail(flight, AttemptFailure::Broken);
@@ -332,7 +332,8 @@
 {
     RelayHarness harness(completeEngines());
     shareCrashes(harness, 3);
-    const FlightId flight = submitBad(harness, GENERATE(RequestKind::Stream, RequestKind::Unsafe));
+    const FlightId flight =
+        submitSuspect(harness, GENERATE(RequestKind::Stream, RequestKind::Unsafe));
     CHECK(harness.sends(flight).empty());
     REQUIRE(harness.finished(flight));
     CHECK(harness.finished(flight)->outcome == FlightOutcome::NotExecuted);
@@ -343,7 +344,7 @@
 TEST_CASE("a queued attempt is abandoned when its request becomes quarantined")
 {
     RelayHarness harness(completeEngines());
-    const FlightId flight = submitBad(harness);
+    const FlightId flight = submitSuspect(harness);
     REQUIRE(harness.sends(flight).size() == 1);
     shareCrashes(harness, 3);
     CHECK(harness.abandoned(flight) == 1);
@@ -355,7 +356,7 @@
 TEST_CASE("a stream with events for over a second is neither suspected nor abandoned")
 {
     RelayHarness harness(completeEngines());
-    const FlightId flight = submitBad(harness);
+    const FlightId flight = submitSuspect(harness);
     REQUIRE(harness.answer(flight, 200));
     for (std::uint64_t event = 1; event <= 12; ++event) {
         harness.forwardEvents(flight, event);
@@ -372,8 +373,8 @@
 {
     RelayHarness harness(completeEngines());
     shareCrashes(harness, 2);
-    const FlightId first = submitBad(harness);
-    const FlightId second = submitBad(harness);
+    const FlightId first = submitSuspect(harness);
+    const FlightId second = submitSuspect(harness);
     CHECK(harness.sends(first).empty());
     harness.answerTrial(first, {.granted = true, .validFor = seconds(5)});
     harness.answerTrial(second, {.wait = seconds(1)});
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -479,9 +479,9 @@
     QuarantineSettings oneCrash;
     oneCrash.crashesToQuarantine = 1;
     CHECK(runSchedules(300, oneCrash).harmlessQuarantined > 0);
-    QuarantineSettings nothingExplains;
-    nothingExplains.crashesToForceQuarantine = nothingExplains.crashesToQuarantine;
-    CHECK(runSchedules(20'000, nothingExplains).harmlessQuarantined > 0);
+    QuarantineSettings ignoresExplanations;
+    ignoresExplanations.crashesToForceQuarantine = ignoresExplanations.crashesToQuarantine;
+    CHECK(runSchedules(20'000, ignoresExplanations).harmlessQuarantined > 0);
     QuarantineSettings neverQuarantines;
     neverQuarantines.crashesToQuarantine = neverQuarantines.crashesToForceQuarantine = 100;
     CHECK(runSchedules(10, neverQuarantines).maxCrashes
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -221,7 +221,7 @@
     harness.advance(milliseconds(2'500)); // until the first window of this instance is over
     const FlightId other = startStream();
     harness.fail(other, AttemptFailure::Broken);
-    REQUIRE(harness.sends(other).size() == 2); // the only repeat
+    REQUIRE(harness.sends(other).size() == 2); // uses the only retry
     harness.advance(milliseconds(1'300));
     const FlightId stream = startStream();
     harness.fail(stream, AttemptFailure::Broken);
