--- a/src/fakes/relayharness.h
+++ b/src/fakes/relayharness.h
@@ -30,8 +30,8 @@
     FlightId submit(RequestKind kind, Duration timeLeft = Duration(20'000'000),
                     std::string digest = {});
 
-    /// The instances that share the endpoints, this one under the name \a self.
-    /// \a clockBehind: by how much it is behind the time that they share.
+    /// Sets the instances that share the endpoints; \a self is the name of this one. Its clock is
+    /// \a clockBehind behind the clock that they share.
     void setInstances(const std::vector<PeerInstance> &instances, const std::string &self,
                       Duration clockBehind = {});
 
@@ -54,6 +54,7 @@
 
     /// Marks the endpoint \a id as draining.
     void drain(const std::string &id);
+
     /// Delists the endpoint \a id.
     void remove(const std::string &id);
 
