--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -68,8 +68,8 @@
 {
     const auto self = shared_from_this();
     abandonAttempt();
-    switch (finish.end) {
-    case FlightOutcome::NotRun:
+    switch (finish.outcome) {
+    case FlightOutcome::NotExecuted:
         return refuse(503, finish.reason, finish.retryAfter);
     case FlightOutcome::Failed:
         return refuse(502, finish.reason);
--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -105,7 +105,7 @@
     answer.status = head.status;
     answer.notExecuted = head.find(names.notExecuted).has_value();
     answer.provenExecuted = head.find(names.executionProof).has_value();
-    answer.atAddress = head.find(names.faultyAddress).value_or("");
+    answer.faultyAddress = head.find(names.faultyAddress).value_or("");
     answer.running = leadingNumber<std::uint32_t>(head.find(names.load).value_or(""));
     answer.rateLimit = leadingNumber<double>(head.find(names.rateLimit).value_or(""));
     return answer;
@@ -152,7 +152,7 @@
     m_output.append(size.data(), static_cast<std::size_t>(end - size.data()));
     m_output.append("\r\n").append(events).append("\r\n");
     RelayActions actions;
-    m_server.relay().eventsPassed(*m_flight, m_attempt, m_events->lastId(), now, actions);
+    m_server.relay().eventsForwarded(*m_flight, m_attempt, m_events->lastId(), now, actions);
     m_server.run(std::move(actions));
     flush();
 }
@@ -176,7 +176,7 @@
     m_answer.emplace(std::move(answer));
     const AnswerHead head = answerHead(m_answer->head());
     addToTrail("answered " + std::to_string(head.status) + (head.notExecuted ? ", not run" : "")
-               + (head.atAddress.empty() ? std::string() : " at " + std::string(head.atAddress)));
+               + (head.faultyAddress.empty() ? std::string() : " at " + std::string(head.faultyAddress)));
     m_server.relay().answered(*m_flight, m_attempt, head, now, actions);
     m_server.run(std::move(actions));
 }
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -46,10 +46,10 @@
 
 std::string trialText(const TrialRow &row)
 {
-    return json::serialize(json::object {{"at", row.at},
+    return json::serialize(json::object {{"at", row.counterpart},
                                          {"by", row.holder},
                                          {"until_ms", toMilliseconds(row.until)},
-                                         {"tries", row.tries}});
+                                         {"tries", row.trials}});
 }
 
 std::string crashText(std::int64_t atMs, const std::string &by)
@@ -150,7 +150,7 @@
             m_state.invalidRows += 1;
         }
     }
-    m_trialPermits.learn(std::move(trials), crashes);
+    m_trialPermits.setRows(std::move(trials), crashes);
     const Time now = steadyNow();
     for (CrashRecord &each : crashes)
         each.at = now - std::max(Duration {}, storeNow() - each.at);
@@ -170,7 +170,7 @@
     constexpr Duration StoreUnavailableWait {2'000'000};
     if (!m_storeOffset || !m_directory.storeUsable(steadyNow()))
         return answered({.wait = StoreUnavailableWait});
-    auto decision = m_trialPermits.ask(request, *m_fleetSnapshot, storeNow());
+    auto decision = m_trialPermits.decide(request, *m_fleetSnapshot, storeNow());
     if (const auto *refused = std::get_if<TrialAnswer>(&decision))
         return answered(*refused);
     const Time requestedAt = bootNow();
@@ -178,7 +178,7 @@
     writeTrial(change,
                [this, request, change, requestedAt, answered = std::move(answered)](bool done) {
                    TrialAnswer answer = m_trialPermits.answer(request, change, done, storeNow());
-                   answer.lasts -= std::min(answer.lasts, bootNow() - requestedAt);
+                   answer.validFor -= std::min(answer.validFor, bootNow() - requestedAt);
                    logDecision("quarantine", answer.granted ? "trial permitted" : "trial refused",
                                {{"digest", std::string_view(request.digest)},
                                 {"endpoint", std::string_view(request.endpoint)},
@@ -209,14 +209,14 @@
                             for (const StoreRow &row : answer.reply.rows)
                                 if (auto trial = done ? std::nullopt : parseTrial(row))
                                     found.push_back(std::move(*trial));
-                            m_trialPermits.written(change, done, answer.reply.version, found);
+                            m_trialPermits.recordWrite(change, done, answer.reply.version, found);
                             written(done);
                         });
 }
 
 void Control::finishTrial(const FinishTrial &trial)
 {
-    const auto change = m_trialPermits.release(trial.digest, trial.end);
+    const auto change = m_trialPermits.release(trial.digest, trial.outcome);
     if (!change)
         return;
     writeTrial(*change, [digest = trial.digest](bool done) {
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -126,7 +126,7 @@
 {
     m_fleet = fleet;
     RelayActions actions;
-    m_relay.follow(std::move(fleet), steadyNow(), actions);
+    m_relay.setFleet(std::move(fleet), steadyNow(), actions);
     run(std::move(actions));
 }
 
@@ -274,7 +274,7 @@
                  {"pace", report->slowdown},
                  {"stalled_at", std::string_view(stalled)}});
     m_relay.endpointAnswered(endpoint, sentAt);
-    m_relay.reported(endpoint, report->stalledAddresses, report->slowdown, steadyNow(), actions);
+    m_relay.queryAnswered(endpoint, report->stalledAddresses, report->slowdown, steadyNow(), actions);
     run(std::move(actions));
 }
 
@@ -288,7 +288,7 @@
                       m_protocol.parsePathReply(outcome.status, outcome.body);
                   if (const auto it = m_flights.find(flight); it != m_flights.end())
                       it->second->addToTrail(
-                          reply == PathReply::Taken
+                          reply == PathReply::Accepted
                               ? "path changed"
                               : "path not changed, " + std::to_string(outcome.status)
                                     + (faultyAddress.empty() ? "" : " at " + faultyAddress));
@@ -356,7 +356,7 @@
                                     + ") to " + m_protocol.formatPath(change->path));
             changePath(*change);
         } else if (const auto *crashes = std::get_if<PublishCrashes>(&action)) {
-            publishCrashes(crashes->news);
+            publishCrashes(crashes->update);
         } else if (const auto *trial = std::get_if<RequestTrial>(&action)) {
             requestTrial(*trial);
         } else if (const auto *finished = std::get_if<FinishTrial>(&action)) {
@@ -368,7 +368,7 @@
         } else if (const auto *abandon = std::get_if<AbandonAttempt>(&action)) {
             if (const auto session = sessionOf(abandon->flight))
                 session->abandonAttempt();
-        } else if (const auto *pass = std::get_if<PassAnswer>(&action)) {
+        } else if (const auto *pass = std::get_if<ForwardAnswer>(&action)) {
             if (const auto session = sessionOf(pass->flight))
                 session->passAnswer();
         } else if (const auto *finish = std::get_if<FinishFlight>(&action)) {
@@ -412,7 +412,7 @@
     };
     sample("requests_total", counts.submitted);
     sample("requests_passed_total", counts.passed);
-    sample("requests_not_run_total", counts.notRun);
+    sample("requests_not_run_total", counts.notExecuted);
     sample("requests_failed_total", counts.failed);
     sample("requests_timed_out_total", counts.timedOut);
     sample("streams_cut_short_total", counts.truncated);
@@ -421,7 +421,7 @@
     sample("paths_changed_total", counts.pathsChanged);
     sample("crashes_under_requests_total", counts.crashes);
     sample("requests_held_back_total", counts.quarantined);
-    sample("contents_suspected", m_relay.quarantine().suspected());
+    sample("contents_suspected", m_relay.quarantine().suspectCount());
     sample("contents_held", m_relay.quarantine().quarantinedCount(steadyNow()));
     sample("endpoints_with_rate_limit", m_relay.rateLimits().size());
     sample("endpoints_passed_over_total", counts.rateLimitSkips);
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-constexpr Duration TickEvery {50'000};
-constexpr Duration Network {500}; ///< one way
-constexpr Duration StallCut {2'500'000}; ///< an engine cuts off what waits so long for another
-constexpr Duration QuestionWithin {450'000}; ///< answered, or it failed
+constexpr Duration TickInterval {50'000};
+constexpr Duration NetworkDelay {500}; ///< one way
+/// After this time, an engine drops a request that waits for another engine.
+constexpr Duration StallTimeout {2'500'000};
+constexpr Duration QueryTimeout {450'000};
 constexpr std::uint32_t Layers = 8;
 constexpr std::uint32_t ManyRetries = 1000;
 
@@ -49,7 +50,7 @@
         startEngine("d" + std::to_string(i % m_settings.domains), layersOf(i / m_settings.domains));
     for (std::size_t i = 0; i < m_settings.instances; ++i) {
         startInstance(i);
-        after(between(0, TickEvery.count()), [this, i] { tick(i); });
+        after(between(0, TickInterval.count()), [this, i] { tick(i); });
     }
     after(Duration(1), [this] { arrive(); });
     after(m_settings.crashingInterval, [this] { arriveCrashing(); });
@@ -59,15 +60,15 @@
 {
     RelaySettings settings = RelayHarness::defaults();
     settings.domain = "d" + std::to_string(instance % m_settings.domains);
-    settings.seed = m_settings.seed * 1000 + m_next++;
+    settings.seed = m_settings.seed * 1000 + m_nextNumber++;
     m_relays[instance] = std::make_unique<Relay>(settings);
     m_relays[instance]->setInstances(m_settings.instances / m_settings.domains,
                                      m_settings.instances, m_now);
     m_callers[instance].clear();
     TrialSettings trials;
-    trials.holder = "instance " + std::to_string(m_next++);
+    trials.holder = "instance " + std::to_string(m_nextNumber++);
     m_permits[instance] = TrialPermits(trials);
-    tellFleet();
+    publishFleet();
 }
 
 void CrashSimulation::addSuspects(std::size_t others)
@@ -76,10 +77,10 @@
     for (std::size_t i = 0; i < others; ++i)
         digests.push_back("beside " + std::to_string(i));
     for (const std::string &digest : digests)
-        for (int end = 0; end < 3; ++end)
-            m_told.push_back({digest, "gone-" + std::to_string(end), m_now});
-    m_ends[digests.front()].assign(3, m_now);
-    learn();
+        for (int crash = 0; crash < 3; ++crash)
+            m_sharedCrashes.push_back({digest, "gone-" + std::to_string(crash), m_now});
+    m_crashes[digests.front()].assign(3, m_now);
+    distribute();
     for (std::size_t i = 1; i < digests.size(); ++i) {
         Caller caller;
         caller.digest = digests[i];
@@ -96,12 +97,12 @@
     for (std::size_t i = 0; i < m_settings.instances; ++i)
         startInstance(i);
     for (const auto &run : m_runs)
-        run->over = true;
+        run->finished = true;
     m_runs.clear();
-    after(m_settings.updateDelay, [this] { learn(); });
+    after(m_settings.updateDelay, [this] { distribute(); });
 }
 
-/// Where engines in the middle of paths end, every other one holds the second half.
+/// All layers, or for CrashKind::CrashesMiddle one half in turn.
 LayerRange CrashSimulation::layersOf(std::size_t number) const
 {
     if (m_settings.crashKind != CrashKind::CrashesMiddle)
@@ -117,13 +118,13 @@
     engine.domain = domain;
     engine.address = "10.0.0.1:" + std::to_string(1000 + m_engines.size());
     m_engines.push_back(std::move(engine));
-    tellFleet();
+    publishFleet();
 }
 
-void CrashSimulation::tellFleet()
+void CrashSimulation::publishFleet()
 {
     auto fleet = std::make_shared<FleetSnapshot>();
-    fleet->number = m_next++;
+    fleet->number = m_nextNumber++;
     for (const Engine &each : m_engines) {
         if (!each.listed)
             continue;
@@ -140,31 +141,32 @@
     m_fleet = fleet;
     for (std::size_t i = 0; i < m_relays.size(); ++i)
         if (m_relays[i])
-            step(i,
-                 [&](Relay &relay, RelayActions &actions) { relay.follow(fleet, m_now, actions); });
+            step(i, [&](Relay &relay, RelayActions &actions) {
+                relay.setFleet(fleet, m_now, actions);
+            });
 }
 
-template<typename Step>
-void CrashSimulation::step(std::size_t instance, Step what)
+template<typename Action>
+void CrashSimulation::step(std::size_t instance, Action action)
 {
     RelayActions actions;
-    what(*m_relays[instance], actions);
+    action(*m_relays[instance], actions);
     act(instance, std::move(actions));
 }
 
-void CrashSimulation::after(Duration delay, std::function<void()> what)
+void CrashSimulation::after(Duration delay, std::function<void()> action)
 {
-    m_events.push({m_now + delay, m_next++, std::move(what)});
+    m_events.push({m_now + delay, m_nextNumber++, std::move(action)});
 }
 
-Duration CrashSimulation::between(std::int64_t least, std::int64_t most)
+Duration CrashSimulation::between(std::int64_t min, std::int64_t max)
 {
-    return Duration(std::uniform_int_distribution<std::int64_t>(least, most)(m_random));
+    return Duration(std::uniform_int_distribution<std::int64_t>(min, max)(m_random));
 }
 
-Duration CrashSimulation::upTo(Duration most)
+Duration CrashSimulation::upTo(Duration max)
 {
-    return most == Duration {} ? most : between(0, most.count());
+    return max == Duration {} ? max : between(0, max.count());
 }
 
 std::size_t CrashSimulation::pick(std::size_t count)
@@ -179,7 +181,7 @@
         const Event event = m_events.top();
         m_events.pop();
         m_now = event.at;
-        event.what();
+        event.action();
     }
     m_now = until;
 }
@@ -187,13 +189,13 @@
 void CrashSimulation::tick(std::size_t instance)
 {
     step(instance, [&](Relay &relay, RelayActions &actions) { relay.tick(m_now, actions); });
-    after(TickEvery, [this, instance] { tick(instance); });
+    after(TickInterval, [this, instance] { tick(instance); });
 }
 
 void CrashSimulation::arrive()
 {
     Caller caller;
-    caller.digest = "harmless " + std::to_string(m_next++);
+    caller.digest = "harmless " + std::to_string(m_nextNumber++);
     caller.eventsLeft = static_cast<std::uint64_t>(between(10, 40).count());
     m_harmless.sent += 1;
     submit(pick(m_settings.instances), std::move(caller));
@@ -203,13 +205,13 @@
 
 void CrashSimulation::arriveCrashing()
 {
-    if (m_now - m_begun >= m_settings.crashingUntil)
+    if (m_now - m_startedAt >= m_settings.crashingUntil)
         return;
     const auto first = static_cast<std::size_t>(between(0, 1000).count());
     for (std::size_t i = 0; i < m_settings.crashingCopies; ++i) {
         Caller caller;
         caller.digest = crashingDigest();
-        caller.crashing = m_now - m_begun >= m_settings.harmlessFor;
+        caller.crashing = m_now - m_startedAt >= m_settings.harmlessFor;
         caller.eventsLeft = 20;
         caller.retries = m_settings.crashingRetries;
         submit((first + i) % m_settings.instances, std::move(caller));
@@ -219,13 +221,13 @@
 
 std::string CrashSimulation::crashingDigest() const
 {
-    return "ends engines " + std::to_string((m_now - m_begun) / m_settings.crashingLifetime);
+    return "ends engines " + std::to_string((m_now - m_startedAt) / m_settings.crashingLifetime);
 }
 
 void CrashSimulation::submit(std::size_t instance, Caller caller)
 {
     RelayRequest request;
-    request.id = "request-" + std::to_string(m_next++);
+    request.id = "request-" + std::to_string(m_nextNumber++);
     request.digest = caller.digest;
     request.table = m_table;
     const bool once = caller.crashing && m_settings.crashingKind == RequestKind::Unsafe;
@@ -238,7 +240,7 @@
     const std::uint64_t eventsLeft = caller.eventsLeft;
     m_callers[instance][flight] = std::move(caller);
     after(m_settings.patience,
-          [this, instance, flight, eventsLeft] { leaveIfSilent(instance, flight, eventsLeft); });
+          [this, instance, flight, eventsLeft] { leaveIfIdle(instance, flight, eventsLeft); });
     act(instance, std::move(actions));
 }
 
@@ -247,89 +249,89 @@
     for (const RelayAction &action : actions) {
         if (const auto *sent = std::get_if<SendRequest>(&action))
             send(instance, *sent);
-        else if (const auto *passing = std::get_if<PassAnswer>(&action))
-            passed(instance, passing->flight);
-        else if (const auto *end = std::get_if<FinishFlight>(&action))
-            ended(instance, *end);
-        else if (const auto *asked = std::get_if<QueryEngine>(&action))
-            ask(instance, *asked);
+        else if (const auto *forward = std::get_if<ForwardAnswer>(&action))
+            passed(instance, forward->flight);
+        else if (const auto *finish = std::get_if<FinishFlight>(&action))
+            finished(instance, *finish);
+        else if (const auto *query = std::get_if<QueryEngine>(&action))
+            queryEngine(instance, *query);
         else if (const auto *change = std::get_if<ChangePath>(&action))
             changePath(instance, *change);
-        else if (const auto *told = std::get_if<PublishCrashes>(&action))
-            tell(told->news);
+        else if (const auto *published = std::get_if<PublishCrashes>(&action))
+            publish(published->update);
         else if (const auto *trial = std::get_if<RequestTrial>(&action))
-            askTrial(instance, *trial);
-        else if (const auto *over = std::get_if<FinishTrial>(&action))
-            endTrial(instance, *over);
+            requestTrial(instance, *trial);
+        else if (const auto *trialFinish = std::get_if<FinishTrial>(&action))
+            finishTrial(instance, *trialFinish);
         else if (const auto *abandoned = std::get_if<AbandonAttempt>(&action))
             for (const auto &run : m_runs)
                 if (run->instance == instance && run->flight == abandoned->flight
                     && run->attempt == abandoned->attempt)
-                    run->over = true;
+                    run->finished = true;
     }
 }
 
-void CrashSimulation::tell(const CrashUpdate &news)
+void CrashSimulation::publish(const CrashUpdate &update)
 {
     if (m_settings.storeUnreachable)
         return;
-    for (const CrashRecord &each : news.added)
-        m_told.push_back(each);
-    for (const CrashRecord &each : news.removed)
-        std::erase_if(m_told, [&](const CrashRecord &told) {
-            return told.digest == each.digest && told.endpoint == each.endpoint;
+    for (const CrashRecord &each : update.added)
+        m_sharedCrashes.push_back(each);
+    for (const CrashRecord &each : update.removed)
+        std::erase_if(m_sharedCrashes, [&](const CrashRecord &shared) {
+            return shared.digest == each.digest && shared.endpoint == each.endpoint;
         });
-    after(m_settings.updateDelay, [this] { learn(); });
+    after(m_settings.updateDelay, [this] { distribute(); });
 }
 
-void CrashSimulation::learn()
+void CrashSimulation::distribute()
 {
     for (const auto &relay : m_relays)
-        relay->setSharedCrashes(m_told);
+        relay->setSharedCrashes(m_sharedCrashes);
     for (TrialPermits &permits : m_permits)
-        permits.learn(m_trials.rows(), m_told);
+        permits.setRows(m_trials.rows(), m_sharedCrashes);
 }
 
-/// \return whether the rows were still as \a change takes them to be.
+/// \return whether the rows still had the versions given by \a change.
 bool CrashSimulation::write(const TrialChange &change)
 {
     if (!m_trials.write(change))
         return false;
     if (change.crash)
-        m_told.push_back(*change.crash);
-    after(m_settings.updateDelay, [this] { learn(); });
+        m_sharedCrashes.push_back(*change.crash);
+    after(m_settings.updateDelay, [this] { distribute(); });
     return true;
 }
 
-void CrashSimulation::askTrial(std::size_t instance, const RequestTrial &ask)
+void CrashSimulation::requestTrial(std::size_t instance, const RequestTrial &request)
 {
-    const auto answer = [this, instance, ask](const TrialAnswer &given) {
+    const auto answer = [this, instance, request](const TrialAnswer &given) {
         step(instance, [&](Relay &relay, RelayActions &actions) {
-            relay.trialAnswered(ask.flight, ask.request, given, m_now, actions);
+            relay.trialAnswered(request.flight, request.request, given, m_now, actions);
         });
     };
     if (m_settings.storeUnreachable)
         return after(Duration(1), [answer] { answer({.wait = std::chrono::seconds(2)}); });
-    const auto decision = m_permits[instance].ask(ask.request, *m_fleet, m_now);
+    const auto decision = m_permits[instance].decide(request.request, *m_fleet, m_now);
     if (const auto *refused = std::get_if<TrialAnswer>(&decision))
         return after(Duration(1), [answer, given = *refused] { answer(given); });
     after(m_settings.storeLatency,
-          [this, instance, ask, answer, change = std::get<TrialChange>(decision)] {
+          [this, instance, request, answer, change = std::get<TrialChange>(decision)] {
               TrialPermits &permits = m_permits[instance];
               const bool done = write(change);
-              permits.written(change, done, m_trials.version(), m_trials.rows());
-              answer(permits.answer(ask.request, change, done, m_now));
+              permits.recordWrite(change, done, m_trials.version(), m_trials.rows());
+              answer(permits.answer(request.request, change, done, m_now));
           });
 }
 
-void CrashSimulation::endTrial(std::size_t instance, const FinishTrial &end)
+void CrashSimulation::finishTrial(std::size_t instance, const FinishTrial &finish)
 {
-    const auto change = m_permits[instance].release(end.digest, end.end);
+    const auto change = m_permits[instance].release(finish.digest, finish.outcome);
     if (!change)
         return;
     after(m_settings.storeLatency, [this, instance, change = *change] {
         const bool done = write(change);
-        m_permits[instance].written(change, done, m_trials.version(), {});
+        m_permits[instance].recordWrite(change, done, m_trials.version(), {});
     });
 }
 
@@ -355,32 +357,32 @@
     if (run->crashing)
         m_crashingSends[run->digest].push_back(m_now);
     m_runs.push_back(run);
-    if (m_engines[run->engine].ended) {
-        after(Network * 2, [this, run] { fail(run, AttemptFailure::NotSent); });
+    if (m_engines[run->engine].crashed) {
+        after(NetworkDelay * 2, [this, run] { fail(run, AttemptFailure::NotSent); });
         return;
     }
-    const auto reading = readingTime(m_engines[run->engine]);
-    if (reading)
-        after(Network + *reading, [this, run] { begin(run); });
+    const auto startDelay = timeToStart(m_engines[run->engine]);
+    if (startDelay)
+        after(NetworkDelay + *startDelay, [this, run] { start(run); });
     else
-        after(Network * 2, [this, run] { reject(run); });
+        after(NetworkDelay * 2, [this, run] { reject(run); });
 }
 
-/// Until the engine begins a request that arrives now; nothing when it rejects it.
-std::optional<Duration> CrashSimulation::readingTime(Engine &engine)
+/// Time until the engine has prefilled a request that arrives now; nothing if it rejects it.
+std::optional<Duration> CrashSimulation::timeToStart(Engine &engine)
 {
     if (m_settings.prefillTime == Duration {})
         return between(40'000, 400'000);
-    const Time begins = std::max(engine.readsUntil, m_now);
-    if (begins - m_now > m_settings.maxWait)
+    const Time startsAt = std::max(engine.busyUntil, m_now);
+    if (startsAt - m_now > m_settings.maxWait)
         return std::nullopt;
-    engine.readsUntil = begins + m_settings.prefillTime;
-    return engine.readsUntil - m_now;
+    engine.busyUntil = startsAt + m_settings.prefillTime;
+    return engine.busyUntil - m_now;
 }
 
 void CrashSimulation::reject(const std::shared_ptr<Run> &run)
 {
-    if (std::exchange(run->over, true) || !m_callers[run->instance].contains(run->flight))
+    if (std::exchange(run->finished, true) || !m_callers[run->instance].contains(run->flight))
         return;
     AnswerHead head;
     head.status = 503;
@@ -390,32 +392,32 @@
     });
 }
 
-/// A caller leaves when no event came since \a eventsLeft were left.
-void CrashSimulation::leaveIfSilent(std::size_t instance, FlightId flight, std::uint64_t eventsLeft)
+/// The caller leaves if no event arrived since \a eventsLeft events were left.
+void CrashSimulation::leaveIfIdle(std::size_t instance, FlightId flight, std::uint64_t eventsLeft)
 {
     const auto caller = m_callers[instance].find(flight);
     if (caller == m_callers[instance].end())
         return;
     if (caller->second.eventsLeft == eventsLeft) {
-        m_harmless.gone += caller->second.crashing ? 0 : 1;
+        m_harmless.callersLeft += caller->second.crashing ? 0 : 1;
         m_callers[instance].erase(caller);
         return step(instance, [&](Relay &relay, RelayActions &actions) {
             relay.callerGone(flight, m_now, actions);
         });
     }
     after(m_settings.patience, [this, instance, flight, left = caller->second.eventsLeft] {
-        leaveIfSilent(instance, flight, left);
+        leaveIfIdle(instance, flight, left);
     });
 }
 
-void CrashSimulation::begin(const std::shared_ptr<Run> &run)
+void CrashSimulation::start(const std::shared_ptr<Run> &run)
 {
-    if (run->over || stands(*run))
+    if (run->finished || isStopped(*run))
         return;
-    if (run->next && m_engines[*run->next].ended)
+    if (run->next && m_engines[*run->next].crashed)
         run->stalled = true;
     else if (run->crashing)
-        return after(between(30'000, 100'000), [this, run] { endUnder(run); });
+        return after(between(30'000, 100'000), [this, run] { applyCrash(run); });
     if (run->stalled)
         return;
     AnswerHead head;
@@ -427,24 +429,26 @@
     nextEvent(run);
 }
 
-/// Also when the request was given up since the engine began it.
-void CrashSimulation::endUnder(const std::shared_ptr<Run> &run)
+/// Crashes an engine as the effect of the run's request, also if the attempt was abandoned after
+/// the engine started it.
+void CrashSimulation::applyCrash(const std::shared_ptr<Run> &run)
 {
     const bool middle = m_settings.crashKind == CrashKind::CrashesMiddle;
-    if (stands(*run) || (middle && (run->over || !run->next || m_engines[*run->next].ended)))
+    if (isStopped(*run)
+        || (middle && (run->finished || !run->next || m_engines[*run->next].crashed)))
         return;
-    m_ends[run->digest].push_back(m_now);
+    m_crashes[run->digest].push_back(m_now);
     if (middle)
-        return endMiddle(*run->next);
+        return crashMiddle(*run->next);
     if (m_settings.crashKind == CrashKind::Hangs)
         return hang(run->engine);
-    endEngine(run->engine);
+    crashEngine(run->engine);
 }
 
-/// Whether the first engine of the run does nothing for it any more.
-bool CrashSimulation::stands(const Run &run) const
+/// Whether the first engine of the run crashed or hangs.
+bool CrashSimulation::isStopped(const Run &run) const
 {
-    return m_engines[run.engine].ended || m_engines[run.engine].hangs;
+    return m_engines[run.engine].crashed || m_engines[run.engine].hangs;
 }
 
 void CrashSimulation::hang(std::size_t engine)
@@ -460,53 +464,54 @@
                 relay.applyEngineReports({{silent}, {}}, m_now, actions);
             });
     });
-    after(m_settings.restart, [this, engine] { endEngine(engine); });
+    after(m_settings.restartDelay, [this, engine] { crashEngine(engine); });
 }
 
-/// Runs through it stand still at their first engines.
-void CrashSimulation::endMiddle(std::size_t engine)
+/// Crashes the second engine of paths. Attempts through it are stalled at their first engines.
+void CrashSimulation::crashMiddle(std::size_t engine)
 {
     for (const auto &run : m_runs)
         run->stalled = run->stalled || run->next == engine;
     for (const auto &run : m_runs)
         if (run->stalled && run->next == engine)
-            after(StallCut, [this, run, engine] {
+            after(StallTimeout, [this, run, engine] {
                 if (run->stalled && run->next == engine)
                     fail(run, AttemptFailure::Broken);
             });
-    endEngine(engine);
+    crashEngine(engine);
 }
 
 std::vector<std::string> CrashSimulation::stalledAt(std::size_t engine) const
 {
     std::set<std::string> addresses;
     for (const auto &run : m_runs)
-        if (!run->over && run->stalled && run->engine == engine)
+        if (!run->finished && run->stalled && run->engine == engine)
             addresses.insert(m_engines[*run->next].address);
     return {addresses.begin(), addresses.end()};
 }
 
-/// The first engine goes on along the new path.
+/// Continues the attempt along the new path if both engines are alive.
 void CrashSimulation::changePath(std::size_t instance, const ChangePath &change)
 {
-    after(Network, [this, instance, change] {
+    after(NetworkDelay, [this, instance, change] {
         const auto found = std::find_if(m_runs.begin(), m_runs.end(), [&](const auto &run) {
-            return !run->over && run->instance == instance && run->flight == change.flight
+            return !run->finished && run->instance == instance && run->flight == change.flight
                    && run->attempt == change.attempt;
         });
         const std::size_t next = engineOf(change.path[1].endpoint);
-        const bool taken = found != m_runs.end() && !stands(**found) && !m_engines[next].ended;
-        if (taken) {
+        const bool accepted =
+            found != m_runs.end() && !isStopped(**found) && !m_engines[next].crashed;
+        if (accepted) {
             const std::shared_ptr<Run> run = *found;
             run->next = next;
             run->stalled = false;
             if (run->crashing)
                 m_crashingSends[run->digest].push_back(m_now);
-            after(between(40'000, 200'000), [this, run] { begin(run); });
+            after(between(40'000, 200'000), [this, run] { start(run); });
         }
         step(instance, [&](Relay &relay, RelayActions &actions) {
             relay.pathChanged(change.flight, change.attempt,
-                              taken ? PathReply::Taken : PathReply::Lost, {}, m_now, actions);
+                              accepted ? PathReply::Accepted : PathReply::Lost, {}, m_now, actions);
         });
     });
 }
@@ -514,18 +519,19 @@
 void CrashSimulation::nextEvent(const std::shared_ptr<Run> &run)
 {
     const auto caller = m_callers[run->instance].find(run->flight);
-    if (run->over || stands(*run) || run->stalled || caller == m_callers[run->instance].end())
+    if (run->finished || isStopped(*run) || run->stalled
+        || caller == m_callers[run->instance].end())
         return;
     run->events += 1;
     caller->second.eventsLeft -= 1;
     step(run->instance, [&](Relay &relay, RelayActions &actions) {
-        relay.eventsPassed(run->flight, run->attempt, m_next++, m_now, actions);
+        relay.eventsForwarded(run->flight, run->attempt, m_nextNumber++, m_now, actions);
         if (caller->second.eventsLeft == 0) {
-            run->over = true;
+            run->finished = true;
             relay.streamCompleted(run->flight, run->attempt, m_now, actions);
         }
     });
-    if (!run->over)
+    if (!run->finished)
         after(Duration(100'000), [this, run] { nextEvent(run); });
 }
 
@@ -533,34 +539,34 @@
 {
     std::vector<std::size_t> used;
     for (const auto &run : m_runs)
-        if (!run->over && !m_engines[run->engine].ended)
+        if (!run->finished && !m_engines[run->engine].crashed)
             used.push_back(run->engine);
     if (!used.empty())
-        endEngine(used[pick(used.size())]);
+        crashEngine(used[pick(used.size())]);
 }
 
-void CrashSimulation::endEngine(std::size_t engine)
+void CrashSimulation::crashEngine(std::size_t engine)
 {
-    m_engines[engine].ended = true;
+    m_engines[engine].crashed = true;
     for (const auto &run : std::vector(m_runs))
-        if (run->engine == engine && !run->over)
-            after(Network + upTo(m_settings.breakSpread), [this, run] {
+        if (run->engine == engine && !run->finished)
+            after(NetworkDelay + upTo(m_settings.breakSpread), [this, run] {
                 fail(run, run->events > 0 ? AttemptFailure::InvalidAnswer : AttemptFailure::Broken);
             });
-    std::erase_if(m_runs, [&](const auto &run) { return run->over || run->engine == engine; });
+    std::erase_if(m_runs, [&](const auto &run) { return run->finished || run->engine == engine; });
     after(m_settings.delistDelay, [this, engine] {
         m_engines[engine].listed = false;
-        tellFleet();
+        publishFleet();
     });
-    const Duration back = m_engines[engine].hangs ? Duration(1) : m_settings.restart;
-    after(back, [this, domain = m_engines[engine].domain, layers = m_engines[engine].layers] {
+    const Duration delay = m_engines[engine].hangs ? Duration(1) : m_settings.restartDelay;
+    after(delay, [this, domain = m_engines[engine].domain, layers = m_engines[engine].layers] {
         startEngine(domain, layers);
     });
 }
 
 void CrashSimulation::fail(const std::shared_ptr<Run> &run, AttemptFailure failure)
 {
-    if (std::exchange(run->over, true) || !m_callers[run->instance].contains(run->flight))
+    if (std::exchange(run->finished, true) || !m_callers[run->instance].contains(run->flight))
         return;
     step(run->instance, [&](Relay &relay, RelayActions &actions) {
         relay.attemptFailed(run->flight, run->attempt, failure, m_now, actions);
@@ -576,66 +582,67 @@
     m_callers[instance].erase(caller);
 }
 
-void CrashSimulation::ended(std::size_t instance, const FinishFlight &end)
+void CrashSimulation::finished(std::size_t instance, const FinishFlight &finish)
 {
-    const auto it = m_callers[instance].find(end.flight);
+    const auto it = m_callers[instance].find(finish.flight);
     Caller caller = it->second;
     m_callers[instance].erase(it);
-    if (!caller.crashing && end.reason.starts_with("held back"))
+    if (!caller.crashing && finish.reason.starts_with("quarantined"))
         m_harmless.quarantined += 1;
-    if (end.end != FlightOutcome::Truncated && caller.retries > 0) {
+    if (finish.outcome != FlightOutcome::Truncated && caller.retries > 0) {
         caller.retries -= 1;
-        after(std::max(end.retryAfter, Duration(20'000)),
+        after(std::max(finish.retryAfter, Duration(20'000)),
               [this, caller] { submit(pick(m_settings.instances), caller); });
         return;
     }
     if (!caller.crashing)
-        (end.end == FlightOutcome::NotRun ? m_harmless.refused : m_harmless.broken) += 1;
+        (finish.outcome == FlightOutcome::NotExecuted ? m_harmless.refused : m_harmless.broken) +=
+            1;
 }
 
-void CrashSimulation::ask(std::size_t instance, const QueryEngine &ask)
+void CrashSimulation::queryEngine(std::size_t instance, const QueryEngine &query)
 {
-    after(Network * 2, [this, instance, asked = m_now, endpoint = ask.endpoint] {
+    after(NetworkDelay * 2, [this, instance, queriedAt = m_now, endpoint = query.endpoint] {
         const std::size_t engine = engineOf(endpoint);
-        if (m_engines[engine].hangs && !m_engines[engine].ended)
-            return after(QuestionWithin, [this, instance, endpoint] {
+        if (m_engines[engine].hangs && !m_engines[engine].crashed)
+            return after(QueryTimeout, [this, instance, endpoint] {
                 step(instance, [&](Relay &relay, RelayActions &actions) {
                     relay.queryFailed(endpoint, m_now, actions, false);
                 });
             });
         step(instance, [&](Relay &relay, RelayActions &actions) {
-            if (m_engines[engine].ended)
+            if (m_engines[engine].crashed)
                 relay.queryFailed(endpoint, m_now, actions, true);
             else {
-                relay.endpointAnswered(endpoint, asked);
-                relay.reported(endpoint, stalledAt(engine), 1, m_now, actions);
+                relay.endpointAnswered(endpoint, queriedAt);
+                relay.queryAnswered(endpoint, stalledAt(engine), 1, m_now, actions);
             }
         });
     });
 }
 
-std::vector<Time> CrashSimulation::ends() const
+std::vector<Time> CrashSimulation::crashes() const
 {
-    std::vector<Time> most;
-    for (const auto &[digest, ends] : m_ends)
-        if (ends.size() > most.size())
-            most = ends;
-    return most;
+    std::vector<Time> result;
+    for (const auto &[digest, crashes] : m_crashes)
+        if (crashes.size() > result.size())
+            result = crashes;
+    return result;
 }
 
 std::size_t CrashSimulation::sendsAfterThirdCrash(Duration after) const
 {
-    std::size_t most = 0;
-    for (const auto &[digest, ends] : m_ends) {
-        if (ends.size() < 3)
+    std::size_t result = 0;
+    for (const auto &[digest, crashes] : m_crashes) {
+        if (crashes.size() < 3)
             continue;
-        const Time since = ends[2] + after;
+        const Time since = crashes[2] + after;
         const std::vector<Time> &sends = m_crashingSends.at(digest);
         const auto late =
             std::count_if(sends.begin(), sends.end(), [&](Time at) { return at > since; });
-        most = std::max(most, static_cast<std::size_t>(late));
+        result = std::max(result, static_cast<std::size_t>(late));
     }
-    return most;
+    return result;
 }
 
 } // namespace balsamloft::fakes
--- a/src/libbalsamloft/ratelimits_test.cpp
+++ b/src/libbalsamloft/ratelimits_test.cpp
@@ -155,7 +155,7 @@
     for (std::size_t i = 0; i < m_instances.size(); ++i)
         if (m_listed[i] || i == instance)
             listed.push_back(m_instances[i]);
-    m_harnesses[instance]->listInstances(listed, m_instances[instance].name, m_clocks[instance]);
+    m_harnesses[instance]->setInstances(listed, m_instances[instance].name, m_clocks[instance]);
 }
 
 void LimitSimulation::setLimit(std::optional<double> limit)
@@ -200,7 +200,7 @@
     for (int left = arrivals(m_random); left > 0; --left)
         submitRequest();
     for (std::size_t i = 0; i < m_harnesses.size(); ++i) {
-        m_harnesses[i]->pass(Step, Step);
+        m_harnesses[i]->advance(Step, Step);
         collect(i);
     }
 }
@@ -427,11 +427,11 @@
 TEST_CASE("an engine with a rate limit still serves later stages of paths")
 {
     RelayHarness harness({{"first", {0, 4}}, {"limited", {0, 8}}, {"last", {4, 8}, "far"}});
-    harness.listInstances({{"n1", "near", "10.0.0.1:1"}, {"n2", "near", "10.0.0.1:2"}}, "n1");
+    harness.setInstances({{"n1", "near", "10.0.0.1:1"}, {"n2", "near", "10.0.0.1:2"}}, "n1");
     std::size_t laterStages = 0;
     for (int request = 0; request < 40; ++request) {
         const FlightId flight = harness.submit(RequestKind::Stream);
-        harness.pass(milliseconds(20));
+        harness.advance(milliseconds(20));
         const SendRequest send = harness.sends(flight).front();
         AnswerHead head;
         head.status = 200;
@@ -439,7 +439,7 @@
         if (send.endpoint == "limited")
             head.rateLimit = 0.1;
         harness.relay.answered(flight, send.attempt, head, harness.now, harness.actions);
-        harness.endStream(flight);
+        harness.completeStream(flight);
         laterStages += send.path.size() > 1 && send.path.back().endpoint == "limited" ? 1 : 0;
     }
     CHECK(laterStages > 20);
@@ -461,7 +461,7 @@
 TEST_CASE("rateLimitSkips counts endpoints of the request's own service only")
 {
     RelayHarness harness({{"engine", {0, 8}}, {"call", {}}});
-    harness.listInstances({{"n1", "near", "10.0.0.1:1"}, {"n2", "near", "10.0.0.1:2"}}, "n1");
+    harness.setInstances({{"n1", "near", "10.0.0.1:1"}, {"n2", "near", "10.0.0.1:2"}}, "n1");
     const FlightId call = harness.submit(RequestKind::Unsafe);
     AnswerHead head;
     head.status = 200;
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -10,14 +10,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Two engines that hold a half each, twice, and two plain endpoints.
+/// Two pairs of engines, each pair with all layers, and two plain endpoints.
 std::vector<RelayEngine> twoPaths()
 {
     return {{"a1", {0, 4}}, {"a2", {4, 8}}, {"b1", {0, 4}}, {"b2", {4, 8}}, {"p1", {}}, {"p2", {}}};
 }
 
-/// All instances together have \a slack repeats in a window, however many requests.
-RelaySettings onlyRepeats(double slack, Duration window = RelaySettings {}.retryWindow)
+/// All instances together have \a slack retries in a window, whatever the number of requests.
+RelaySettings onlySlack(double slack, Duration window = RelaySettings {}.retryWindow)
 {
     RelaySettings settings = RelayHarness::defaults();
     settings.retryRatio = 0;
@@ -26,7 +26,7 @@
     return settings;
 }
 
-bool goesThrough(const SendRequest &send, const std::string &id)
+bool passesThrough(const SendRequest &send, const std::string &id)
 {
     for (const PathPart &part : send.path)
         if (part.endpoint == id)
@@ -36,323 +36,319 @@
 
 } // namespace
 
-// The caller of a call that may run once sees its connection to the endpoint
-// break after the bytes left. Sent again it would run twice; told "not run" the
-// caller would send it again. Neither may happen.
-TEST_CASE("an unsafe call that may have run is never sent again, nor said not to have run")
+// Guards against a call that runs twice: the connection to the endpoint breaks after the bytes were
+// sent. A retry would run it again, and so would the caller after an answer "not executed".
+TEST_CASE("a non-idempotent call that may have run is not retried and is reported as failed")
 {
     const auto failure = GENERATE(AttemptFailure::Broken, AttemptFailure::InvalidAnswer);
-    RelayHarness world(twoPaths());
-    const FlightId call = world.submit(RequestKind::Unsafe);
-    world.fail(call, failure);
-    REQUIRE(world.sends(call).size() == 1);
-    REQUIRE(world.end(call));
-    CHECK(world.end(call)->end == FlightOutcome::Failed);
-    CHECK(world.end(call)->retryAfter == Duration {});
-}
-
-// Nothing left, or the endpoint says that it ran nothing: another endpoint may
-// run it, and when none is left the caller is told that it did not run.
-TEST_CASE("an unsafe call that surely did not run goes elsewhere, then is refused as not run")
-{
-    RelayHarness world(twoPaths());
-    const FlightId call = world.submit(RequestKind::Unsafe);
-    world.fail(call, AttemptFailure::NotSent);
-    REQUIRE(world.sends(call).size() == 2);
-    CHECK(world.sends(call)[0].endpoint != world.sends(call)[1].endpoint);
-    world.answer(call, 503, false, true);
-    world.pass(milliseconds(500));
-    REQUIRE(world.end(call));
-    CHECK(world.end(call)->end == FlightOutcome::NotRun);
-    CHECK(world.end(call)->retryAfter > Duration {});
-}
-
-TEST_CASE("an unsafe call is sent on a connection that carried nothing before")
-{
-    RelayHarness world(twoPaths());
-    CHECK(world.sends(world.submit(RequestKind::Unsafe)).front().freshConnection);
-    CHECK_FALSE(world.sends(world.submit(RequestKind::Safe)).front().freshConnection);
-}
-
-// An engine breaks off in the middle of a stream: the caller sees the events go
-// on from another path, after the last one that it got whole.
-TEST_CASE("a broken stream goes on elsewhere after its last whole event")
-{
-    RelayHarness world(twoPaths());
-    const FlightId stream = world.submit(RequestKind::Stream);
-    REQUIRE(world.answer(stream, 200));
-    world.events(stream, 7);
-    world.fail(stream, AttemptFailure::Broken);
-    const auto sends = world.sends(stream);
+    RelayHarness harness(twoPaths());
+    const FlightId call = harness.submit(RequestKind::Unsafe);
+    harness.fail(call, failure);
+    REQUIRE(harness.sends(call).size() == 1);
+    REQUIRE(harness.finished(call));
+    CHECK(harness.finished(call)->outcome == FlightOutcome::Failed);
+    CHECK(harness.finished(call)->retryAfter == Duration {});
+}
+
+// Guards against the loss of a call that is safe to retry: nothing was sent, or the endpoint
+// reported that it executed nothing.
+TEST_CASE(
+    "a non-idempotent call that did not run is retried elsewhere, then refused as not executed")
+{
+    RelayHarness harness(twoPaths());
+    const FlightId call = harness.submit(RequestKind::Unsafe);
+    harness.fail(call, AttemptFailure::NotSent);
+    REQUIRE(harness.sends(call).size() == 2);
+    CHECK(harness.sends(call)[0].endpoint != harness.sends(call)[1].endpoint);
+    harness.answer(call, 503, false, true);
+    harness.advance(milliseconds(500));
+    REQUIRE(harness.finished(call));
+    CHECK(harness.finished(call)->outcome == FlightOutcome::NotExecuted);
+    CHECK(harness.finished(call)->retryAfter > Duration {});
+}
+
+TEST_CASE("a non-idempotent call is sent on a fresh connection")
+{
+    RelayHarness harness(twoPaths());
+    CHECK(harness.sends(harness.submit(RequestKind::Unsafe)).front().freshConnection);
+    CHECK_FALSE(harness.sends(harness.submit(RequestKind::Safe)).front().freshConnection);
+}
+
+// Guards against lost or repeated events when an engine fails in the middle of a stream.
+TEST_CASE("a broken stream resumes on another path after its last complete event")
+{
+    RelayHarness harness(twoPaths());
+    const FlightId stream = harness.submit(RequestKind::Stream);
+    REQUIRE(harness.answer(stream, 200));
+    harness.forwardEvents(stream, 7);
+    harness.fail(stream, AttemptFailure::Broken);
+    const auto sends = harness.sends(stream);
     REQUIRE(sends.size() == 2);
     CHECK(sends[1].afterEvent == 7);
     CHECK(sends[1].attempt > sends[0].attempt);
-    CHECK_FALSE(goesThrough(sends[1], sends[0].endpoint));
+    CHECK_FALSE(passesThrough(sends[1], sends[0].endpoint));
 }
 
-// The engine that takes a broken stream over answers with a sealed failure.
-// Passed on, it would end the caller's stream as if it were complete.
-TEST_CASE("a failure after events were passed breaks the stream off")
+// Guards against a truncated stream that looks complete: the engine that resumes a stream answers
+// with an error, and forwarding it would end the caller's stream normally.
+TEST_CASE("a server error after forwarded events truncates the stream")
 {
-    RelayHarness world(twoPaths());
-    const FlightId stream = world.submit(RequestKind::Stream);
-    REQUIRE(world.answer(stream, 200));
-    world.events(stream, 7);
-    world.fail(stream, AttemptFailure::Broken);
-    world.answer(stream, 500);
-    CHECK_FALSE(world.passed(stream));
-    REQUIRE(world.end(stream));
-    CHECK(world.end(stream)->end == FlightOutcome::Truncated);
+    RelayHarness harness(twoPaths());
+    const FlightId stream = harness.submit(RequestKind::Stream);
+    REQUIRE(harness.answer(stream, 200));
+    harness.forwardEvents(stream, 7);
+    harness.fail(stream, AttemptFailure::Broken);
+    harness.answer(stream, 500);
+    CHECK_FALSE(harness.passed(stream));
+    REQUIRE(harness.finished(stream));
+    CHECK(harness.finished(stream)->outcome == FlightOutcome::Truncated);
 }
 
-// Late events of an attempt that was given up come after the stream went on
-// elsewhere: they must change nothing.
-TEST_CASE("what an abandoned attempt still sends changes nothing")
+// Guards against events of a failed attempt that arrive after the stream resumed elsewhere.
+TEST_CASE("late data of a failed attempt is ignored")
 {
-    RelayHarness world(twoPaths());
-    const FlightId stream = world.submit(RequestKind::Stream);
-    REQUIRE(world.answer(stream, 200));
-    world.events(stream, 3);
-    const std::uint32_t old = world.sends(stream).back().attempt;
-    world.fail(stream, AttemptFailure::Broken);
-    world.relay.eventsPassed(stream, old, 9, world.now, world.actions);
-    CHECK(world.relay.lastEvent(stream) == 3);
-    world.relay.streamCompleted(stream, old, world.now, world.actions);
-    CHECK_FALSE(world.passed(stream));
+    RelayHarness harness(twoPaths());
+    const FlightId stream = harness.submit(RequestKind::Stream);
+    REQUIRE(harness.answer(stream, 200));
+    harness.forwardEvents(stream, 3);
+    const std::uint32_t firstAttempt = harness.sends(stream).back().attempt;
+    harness.fail(stream, AttemptFailure::Broken);
+    harness.relay.eventsForwarded(stream, firstAttempt, 9, harness.now, harness.actions);
+    CHECK(harness.relay.lastEvent(stream) == 3);
+    harness.relay.streamCompleted(stream, firstAttempt, harness.now, harness.actions);
+    CHECK_FALSE(harness.passed(stream));
 }
 
-// Many engines die at once. Each stream is sent again once, but all instances
-// together may add only so much load, or those left would fail as well.
-TEST_CASE("repeats stay within the budget")
+// Guards against overload by retries when many engines fail at once: all instances together may
+// only add a bounded load to the engines that are left.
+TEST_CASE("retries stay within the budget")
 {
     RelaySettings settings = RelayHarness::defaults();
     settings.retryRatio = 0.1;
     settings.retrySlack = 12;
-    RelayHarness world(twoPaths(), settings);
-    world.relay.setInstances(2, 4, world.now);
+    RelayHarness harness(twoPaths(), settings);
+    harness.relay.setInstances(2, 4, harness.now);
     std::vector<FlightId> streams;
     for (int i = 0; i < 100; ++i)
-        streams.push_back(world.submit(RequestKind::Stream));
+        streams.push_back(harness.submit(RequestKind::Stream));
     for (const FlightId stream : streams) {
-        REQUIRE(world.answer(stream, 200));
-        world.events(stream, 1);
-        world.fail(stream, AttemptFailure::Broken);
+        REQUIRE(harness.answer(stream, 200));
+        harness.forwardEvents(stream, 1);
+        harness.fail(stream, AttemptFailure::Broken);
     }
-    std::size_t repeats = 0;
+    std::size_t retries = 0;
     for (const FlightId stream : streams)
-        repeats += world.sends(stream).size() - 1;
-    CHECK(repeats <= 12 / 4 + 100 / 10);
-    CHECK(repeats >= 3);
-}
-
-// An overloaded fleet rejects one new request after another, and each is sent again.
-// Then the engine of a stream that has run for seconds dies. Its caller would see a
-// broken answer if no repeat was left; the new ones are refused, and come back.
-TEST_CASE("new requests leave repeats for streams that have begun")
-{
-    RelayHarness world(twoPaths(), onlyRepeats(2, milliseconds(3'000)));
-    const FlightId stream = world.submit(RequestKind::Stream);
-    REQUIRE(world.answer(stream, 200));
-    world.events(stream, 4);
-    for (std::uint64_t event = 5; event < 40; ++event) { // its first window goes by
-        world.pass(milliseconds(100));
-        world.events(stream, event);
+        retries += harness.sends(stream).size() - 1;
+    CHECK(retries <= 12 / 4 + 100 / 10);
+    CHECK(retries >= 3);
+}
+
+// Guards against new requests that use up the retry budget. An overloaded fleet rejects them one
+// after another; then the engine of a stream fails that has run for seconds. Without a retry its
+// answer would be truncated, while callers of refused requests can retry.
+TEST_CASE("new requests leave retries for started streams")
+{
+    RelayHarness harness(twoPaths(), onlySlack(2, milliseconds(3'000)));
+    const FlightId stream = harness.submit(RequestKind::Stream);
+    REQUIRE(harness.answer(stream, 200));
+    harness.forwardEvents(stream, 4);
+    for (std::uint64_t event = 5; event < 40; ++event) { // until the first window is over
+        harness.advance(milliseconds(100));
+        harness.forwardEvents(stream, event);
     }
-    const FlightId fresh = world.submit(RequestKind::Stream);
-    world.answer(fresh, 503, false, true);
-    REQUIRE(world.sends(fresh).size() == 2);
-    world.answer(fresh, 503, false, true);
-    REQUIRE(world.end(fresh));
-    CHECK(world.end(fresh)->end == FlightOutcome::NotRun);
-    CHECK(world.end(fresh)->retryAfter > Duration {});
-    world.fail(stream, AttemptFailure::Broken);
-    world.pass(milliseconds(400)); // both engines had just no room
-    CHECK(world.sends(stream).size() == 2);
-    CHECK_FALSE(world.end(stream));
-}
-
-// A stream ran at two engines, all that its route allows, when an engine of its path
-// goes silent and no other path is there. Broken off it would surely be lost to its
-// caller; the silence passes, and the caller gets the rest.
-TEST_CASE("a stream that may not run again is not broken off for an engine's silence")
-{
-    RelayHarness world(twoPaths());
-    const FlightId stream = world.submit(RequestKind::Stream);
-    REQUIRE(world.answer(stream, 200));
-    world.events(stream, 3);
-    world.fail(stream, AttemptFailure::Broken);
-    REQUIRE(world.sends(stream).size() == 2);
-    REQUIRE(world.answer(stream, 200));
-    world.events(stream, 4);
-    const std::string silent = world.sends(stream).back().path.back().endpoint;
-    world.relay.queryFailed(silent, world.now, world.actions);
-    world.pass(milliseconds(1500));
-    CHECK_FALSE(world.end(stream));
-    world.events(stream, 5);
-    world.endStream(stream);
-    CHECK(world.passed(stream));
-}
-
-// An engine in the middle of a path pauses, and no other engine has its layers. Given
-// up for that, the stream would wait for a path that is not there; left alone, it goes
-// on when the engine does.
-TEST_CASE("a stream that has begun is not given up before there is another path")
-{
-    RelayHarness world({{"one", {0, 4}}, {"two", {4, 8}}});
-    const FlightId stream = world.submit(RequestKind::Stream);
-    REQUIRE(world.answer(stream, 200));
-    world.events(stream, 3);
-    world.relay.queryFailed("two", world.now, world.actions);
-    world.pass(milliseconds(1500));
-    CHECK(world.abandoned(stream) == 0);
-    world.events(stream, 4);
-    world.endStream(stream);
-    CHECK(world.passed(stream));
-}
-
-// The engine of a stream dies when all repeats of the window are spent. Its caller
-// waits two seconds for the next event; within these the window moves on, and the
-// stream goes on elsewhere instead of being broken off.
-TEST_CASE("a stream that has begun waits for a repeat while its caller does")
-{
-    RelayHarness world(twoPaths(), onlyRepeats(1, milliseconds(2'000)));
-    const auto begin = [&] {
-        const FlightId stream = world.submit(RequestKind::Stream);
-        REQUIRE(world.answer(stream, 200));
-        world.events(stream, 1);
+    const FlightId newRequest = harness.submit(RequestKind::Stream);
+    harness.answer(newRequest, 503, false, true);
+    REQUIRE(harness.sends(newRequest).size() == 2);
+    harness.answer(newRequest, 503, false, true);
+    REQUIRE(harness.finished(newRequest));
+    CHECK(harness.finished(newRequest)->outcome == FlightOutcome::NotExecuted);
+    CHECK(harness.finished(newRequest)->retryAfter > Duration {});
+    harness.fail(stream, AttemptFailure::Broken);
+    harness.advance(milliseconds(400)); // both engines are left out after their rejections
+    CHECK(harness.sends(stream).size() == 2);
+    CHECK_FALSE(harness.finished(stream));
+}
+
+// Guards against a needless truncation: a stream ran at two engines, which is the limit of its
+// route, when an engine of its path becomes unresponsive for a while.
+TEST_CASE("a stream that may not run again is not truncated when an engine is unresponsive")
+{
+    RelayHarness harness(twoPaths());
+    const FlightId stream = harness.submit(RequestKind::Stream);
+    REQUIRE(harness.answer(stream, 200));
+    harness.forwardEvents(stream, 3);
+    harness.fail(stream, AttemptFailure::Broken);
+    REQUIRE(harness.sends(stream).size() == 2);
+    REQUIRE(harness.answer(stream, 200));
+    harness.forwardEvents(stream, 4);
+    const std::string unresponsive = harness.sends(stream).back().path.back().endpoint;
+    harness.relay.queryFailed(unresponsive, harness.now, harness.actions);
+    harness.advance(milliseconds(1500));
+    CHECK_FALSE(harness.finished(stream));
+    harness.forwardEvents(stream, 5);
+    harness.completeStream(stream);
+    CHECK(harness.passed(stream));
+}
+
+// Guards against a stream that is abandoned without an alternative: an engine in the middle of its
+// path pauses, and no other engine holds its layers.
+TEST_CASE("a started stream is not abandoned while there is no other path")
+{
+    RelayHarness harness({{"one", {0, 4}}, {"two", {4, 8}}});
+    const FlightId stream = harness.submit(RequestKind::Stream);
+    REQUIRE(harness.answer(stream, 200));
+    harness.forwardEvents(stream, 3);
+    harness.relay.queryFailed("two", harness.now, harness.actions);
+    harness.advance(milliseconds(1500));
+    CHECK(harness.abandoned(stream) == 0);
+    harness.forwardEvents(stream, 4);
+    harness.completeStream(stream);
+    CHECK(harness.passed(stream));
+}
+
+// Guards against a truncation when the retry budget is exhausted. The caller waits two seconds for
+// the next event, and in that time the window frees a retry.
+TEST_CASE("a started stream without a retry waits until the window frees one")
+{
+    RelayHarness harness(twoPaths(), onlySlack(1, milliseconds(2'000)));
+    const auto startStream = [&] {
+        const FlightId stream = harness.submit(RequestKind::Stream);
+        REQUIRE(harness.answer(stream, 200));
+        harness.forwardEvents(stream, 1);
         return stream;
     };
-    world.submit(RequestKind::Stream);
-    world.pass(milliseconds(2'500)); // the first window of this instance
-    const FlightId other = begin();
-    world.fail(other, AttemptFailure::Broken);
-    REQUIRE(world.sends(other).size() == 2); // the only repeat
-    world.pass(milliseconds(1'300));
-    const FlightId stream = begin();
-    world.fail(stream, AttemptFailure::Broken);
-    CHECK(world.sends(stream).size() == 1);
-    world.pass(milliseconds(1'500));
-    CHECK(world.sends(stream).size() == 2);
-    CHECK_FALSE(world.end(stream));
-}
-
-// Two of four instances stop in turn. What they spent counts in the same window,
-// so their shares may not go to the others before it is over.
-TEST_CASE("the share of an instance that left is not given out again in the same window")
-{
-    RelayHarness world(twoPaths(), onlyRepeats(40));
-    world.relay.setInstances(2, 4, world.now);
-    world.submit(RequestKind::Stream); // the budget's own first window begins
-    world.pass(milliseconds(11'000));
-    world.relay.setInstances(2, 2, world.now);
-    const auto repeats = [&] {
+    harness.submit(RequestKind::Stream);
+    harness.advance(milliseconds(2'500)); // until the first window of this instance is over
+    const FlightId other = startStream();
+    harness.fail(other, AttemptFailure::Broken);
+    REQUIRE(harness.sends(other).size() == 2); // uses the only retry
+    harness.advance(milliseconds(1'300));
+    const FlightId stream = startStream();
+    harness.fail(stream, AttemptFailure::Broken);
+    CHECK(harness.sends(stream).size() == 1);
+    harness.advance(milliseconds(1'500));
+    CHECK(harness.sends(stream).size() == 2);
+    CHECK_FALSE(harness.finished(stream));
+}
+
+// Guards against retries beyond the fleet's budget: two of four instances stop in turn, and what
+// they spent still counts in the window.
+TEST_CASE("the share of an instance that left is not redistributed in the same window")
+{
+    RelayHarness harness(twoPaths(), onlySlack(40));
+    harness.relay.setInstances(2, 4, harness.now);
+    harness.submit(RequestKind::Stream); // starts the first window of the budget
+    harness.advance(milliseconds(11'000));
+    harness.relay.setInstances(2, 2, harness.now);
+    const auto retries = [&] {
         std::size_t count = 0;
         for (int i = 0; i < 30; ++i) {
-            const FlightId stream = world.submit(RequestKind::Stream);
-            REQUIRE(world.answer(stream, 200));
-            world.fail(stream, AttemptFailure::Broken);
-            count += world.sends(stream).size() - 1;
+            const FlightId stream = harness.submit(RequestKind::Stream);
+            REQUIRE(harness.answer(stream, 200));
+            harness.fail(stream, AttemptFailure::Broken);
+            count += harness.sends(stream).size() - 1;
         }
         return count;
     };
-    CHECK(repeats() <= 10);
-    world.pass(milliseconds(13'000));
-    world.relay.setInstances(2, 2, world.now);
-    CHECK(repeats() == 20);
+    CHECK(retries() <= 10);
+    harness.advance(milliseconds(13'000));
+    harness.relay.setInstances(2, 2, harness.now);
+    CHECK(retries() == 20);
 }
 
-// Two living engines ran it: that is all the route allows. One that is gone
-// does not count, since what it ran is lost.
+// Guards against more attempts than the route allows. Attempts on endpoints that are gone do not
+// count, since their results are lost.
 TEST_CASE("a request runs at no more endpoints than its route allows")
 {
-    RelayHarness world(twoPaths());
-    const FlightId stream = world.submit(RequestKind::Stream);
-    REQUIRE(world.answer(stream, 200));
-    world.events(stream, 1);
-    const std::string first = world.sends(stream).front().endpoint;
-    const bool gone = GENERATE(false, true);
-    world.fail(stream, AttemptFailure::Broken);
-    REQUIRE(world.sends(stream).size() == 2);
-    if (gone)
-        world.remove(first);
-    world.fail(stream, AttemptFailure::Broken);
-    CHECK(world.sends(stream).size() == (gone ? 3 : 2));
-}
-
-TEST_CASE("a caller that leaves cancels its work at once")
-{
-    RelayHarness world(twoPaths());
-    const FlightId stream = world.submit(RequestKind::Stream);
-    world.relay.callerGone(stream, world.now, world.actions);
-    CHECK(world.abandoned(stream) == 1);
-    CHECK(world.relay.flights() == 0);
-    world.pass(milliseconds(3000));
-    CHECK(world.sends(stream).size() == 1);
-}
-
-TEST_CASE("what is sent again carries the time that is left")
-{
-    RelayHarness world(twoPaths());
-    const FlightId stream = world.submit(RequestKind::Stream, milliseconds(5000));
-    world.pass(milliseconds(200));
-    world.fail(stream, AttemptFailure::Broken);
-    const auto sends = world.sends(stream);
+    RelayHarness harness(twoPaths());
+    const FlightId stream = harness.submit(RequestKind::Stream);
+    REQUIRE(harness.answer(stream, 200));
+    harness.forwardEvents(stream, 1);
+    const std::string first = harness.sends(stream).front().endpoint;
+    const bool firstDelisted = GENERATE(false, true);
+    harness.fail(stream, AttemptFailure::Broken);
+    REQUIRE(harness.sends(stream).size() == 2);
+    if (firstDelisted)
+        harness.remove(first);
+    harness.fail(stream, AttemptFailure::Broken);
+    CHECK(harness.sends(stream).size() == (firstDelisted ? 3 : 2));
+}
+
+TEST_CASE("the attempt of a disconnected caller is abandoned at once")
+{
+    RelayHarness harness(twoPaths());
+    const FlightId stream = harness.submit(RequestKind::Stream);
+    harness.relay.callerGone(stream, harness.now, harness.actions);
+    CHECK(harness.abandoned(stream) == 1);
+    CHECK(harness.relay.flights() == 0);
+    harness.advance(milliseconds(3000));
+    CHECK(harness.sends(stream).size() == 1);
+}
+
+TEST_CASE("a retry carries the remaining time")
+{
+    RelayHarness harness(twoPaths());
+    const FlightId stream = harness.submit(RequestKind::Stream, milliseconds(5000));
+    harness.advance(milliseconds(200));
+    harness.fail(stream, AttemptFailure::Broken);
+    const auto sends = harness.sends(stream);
     REQUIRE(sends.size() == 2);
     CHECK(sends[0].timeLeft == milliseconds(5000));
     CHECK(sends[1].timeLeft <= milliseconds(4800));
 }
 
-// Neither the caller's time nor the route's may pass without an answer.
-TEST_CASE("a request is answered when its time or its route's is over")
+// Guards against requests without an answer at the caller's deadline or the route's timeout.
+TEST_CASE("a request is answered when its deadline or its route's timeout passes")
 {
-    RelayHarness world(twoPaths());
-    const FlightId caller = world.submit(RequestKind::Unsafe, milliseconds(800));
-    const FlightId route = world.submit(RequestKind::Unsafe, milliseconds(60'000));
-    world.pass(milliseconds(850));
-    REQUIRE(world.end(caller));
-    CHECK(world.end(caller)->end == FlightOutcome::TimedOut);
-    CHECK_FALSE(world.end(route));
-    world.pass(milliseconds(9250));
-    CHECK(world.end(route));
+    RelayHarness harness(twoPaths());
+    const FlightId caller = harness.submit(RequestKind::Unsafe, milliseconds(800));
+    const FlightId route = harness.submit(RequestKind::Unsafe, milliseconds(60'000));
+    harness.advance(milliseconds(850));
+    REQUIRE(harness.finished(caller));
+    CHECK(harness.finished(caller)->outcome == FlightOutcome::TimedOut);
+    CHECK_FALSE(harness.finished(route));
+    harness.advance(milliseconds(9250));
+    CHECK(harness.finished(route));
 }
 
-TEST_CASE("a request without a path is refused soon, saying when to come back")
+TEST_CASE("a request without a path is refused within a second, with a retry delay")
 {
-    RelayHarness world({{"a1", {0, 4}}});
-    const FlightId stream = world.submit(RequestKind::Stream);
-    world.pass(milliseconds(1000));
-    REQUIRE(world.end(stream));
-    CHECK(world.end(stream)->end == FlightOutcome::NotRun);
-    CHECK(world.end(stream)->retryAfter > Duration {});
+    RelayHarness harness({{"a1", {0, 4}}});
+    const FlightId stream = harness.submit(RequestKind::Stream);
+    harness.advance(milliseconds(1000));
+    REQUIRE(harness.finished(stream));
+    CHECK(harness.finished(stream)->outcome == FlightOutcome::NotExecuted);
+    CHECK(harness.finished(stream)->retryAfter > Duration {});
 }
 
 namespace {
 
-/// Twelve streams that have begun, and the last engine of the first one's path.
+/// Twelve started streams, and the last engine of the first one's path as the dead engine.
 struct RunningStreams
 {
-    explicit RunningStreams(RelayHarness &world)
+    explicit RunningStreams(RelayHarness &harness)
     {
         for (int i = 0; i < 12; ++i)
-            streams.push_back(world.submit(RequestKind::Stream));
+            streams.push_back(harness.submit(RequestKind::Stream));
         for (const FlightId stream : streams) {
-            REQUIRE(world.answer(stream, 200));
-            world.events(stream, 1);
+            REQUIRE(harness.answer(stream, 200));
+            harness.forwardEvents(stream, 1);
         }
-        dead = world.sends(streams.front()).front().path.back().endpoint;
+        dead = harness.sends(streams.front()).front().path.back().endpoint;
     }
 
-    /// Those that do not pass through the dead engine go on; each engine that is
-    /// asked says that it does not answer.
-    void pass(RelayHarness &world, int steps) const
+    /// Advances the time. Streams that avoid the dead engine receive events; each queried engine
+    /// reports that the dead one does not answer.
+    void advance(RelayHarness &harness, int steps) const
     {
         for (int step = 0; step < steps; ++step) {
-            world.pass(milliseconds(50));
+            harness.advance(milliseconds(50));
             for (const FlightId stream : streams)
-                if (!goesThrough(world.sends(stream).back(), dead))
-                    world.events(stream, 2 + static_cast<std::uint64_t>(step));
-            for (const std::string &asked : world.asked())
-                world.relay.reported(asked, {world.addressOf(dead)}, 1, world.now, world.actions);
+                if (!passesThrough(harness.sends(stream).back(), dead))
+                    harness.forwardEvents(stream, 2 + static_cast<std::uint64_t>(step));
+            for (const std::string &queried : harness.queriedEngines())
+                harness.relay.queryAnswered(queried, {harness.addressOf(dead)}, 1, harness.now,
+                                            harness.actions);
         }
     }
 
@@ -362,249 +358,247 @@
 
 } // namespace
 
-// An engine in the middle of a path dies silently. The streams through it
-// pause; the first engine says who does not answer it, and is told another
-// path. It does not know the request any more: the stream is sent again within
-// half a second of its last event, the others stay.
-TEST_CASE("streams through an engine that went silent move, others do not")
+// Guards against long pauses when an engine in the middle of a path fails silently. The first
+// engine reports which engine does not answer and is ordered to change the path. Since it no longer
+// knows the request, the stream is retried, within half a second of its last event.
+TEST_CASE("streams through an unresponsive engine are moved, others are not")
 {
-    RelayHarness world(twoPaths());
-    const RunningStreams running(world);
-    running.pass(world, 8);
-    REQUIRE_FALSE(world.asked().empty());
+    RelayHarness harness(twoPaths());
+    const RunningStreams running(harness);
+    running.advance(harness, 8);
+    REQUIRE_FALSE(harness.queriedEngines().empty());
     for (const FlightId stream : running.streams) {
         INFO("stream " << stream);
-        const bool hit = goesThrough(world.sends(stream).front(), running.dead);
-        CHECK(world.pathChanges(stream).size() == (hit ? 1U : 0U));
-        if (hit)
-            world.answerPathChange(stream, PathReply::Lost);
-        CHECK_FALSE(goesThrough(world.sends(stream).back(), running.dead));
-        CHECK(world.sends(stream).size() == (hit ? 2U : 1U));
+        const bool affected = passesThrough(harness.sends(stream).front(), running.dead);
+        CHECK(harness.pathChanges(stream).size() == (affected ? 1U : 0U));
+        if (affected)
+            harness.answerPathChange(stream, PathReply::Lost);
+        CHECK_FALSE(passesThrough(harness.sends(stream).back(), running.dead));
+        CHECK(harness.sends(stream).size() == (affected ? 2U : 1U));
     }
 }
 
-// The same, but the first engine takes the other path: the caller's stream goes
-// on with no second send, so a dead engine costs none of the few repeats.
-TEST_CASE("a stream whose engine died goes on along another path without being sent again")
+// Guards against the use of retries for a dead engine in the middle of a path: the first engine
+// accepts the new path, so the stream continues in the same attempt.
+TEST_CASE("a stream through a dead engine continues on another path without a retry")
 {
-    RelayHarness world(twoPaths());
-    const RunningStreams running(world);
-    running.pass(world, 8);
+    RelayHarness harness(twoPaths());
+    const RunningStreams running(harness);
+    running.advance(harness, 8);
     for (const FlightId stream : running.streams) {
-        if (!goesThrough(world.sends(stream).front(), running.dead))
+        if (!passesThrough(harness.sends(stream).front(), running.dead))
             continue;
         INFO("stream " << stream);
-        REQUIRE(world.pathChanges(stream).size() == 1);
-        const ChangePath change = world.pathChanges(stream).front();
-        CHECK(change.path.front() == world.sends(stream).front().path.front());
+        REQUIRE(harness.pathChanges(stream).size() == 1);
+        const ChangePath change = harness.pathChanges(stream).front();
+        CHECK(change.path.front() == harness.sends(stream).front().path.front());
         for (const PathPart &part : change.path)
             CHECK(part.endpoint != running.dead);
-        world.answerPathChange(stream, PathReply::Taken);
-        world.events(stream, 2);
-        CHECK(world.sends(stream).size() == 1);
-        CHECK_FALSE(world.end(stream));
+        harness.answerPathChange(stream, PathReply::Accepted);
+        harness.forwardEvents(stream, 2);
+        CHECK(harness.sends(stream).size() == 1);
+        CHECK_FALSE(harness.finished(stream));
     }
-    CHECK(world.relay.counts().resent == 0);
+    CHECK(harness.relay.counts().resent == 0);
 }
 
-// The first engine is silent too: the order to change the path is not answered.
-// The stream may not wait for it until its caller leaves.
-TEST_CASE("a change of path that is not answered ends in another send")
+// Guards against a stream that waits until its caller leaves, because its first engine does not
+// answer the order to change the path.
+TEST_CASE("an unanswered path change is followed by a retry")
 {
-    RelayHarness world(twoPaths());
-    const RunningStreams running(world);
-    running.pass(world, 8);
+    RelayHarness harness(twoPaths());
+    const RunningStreams running(harness);
+    running.advance(harness, 8);
     const FlightId stream = running.streams.front();
-    REQUIRE(world.pathChanges(stream).size() == 1);
-    world.pass(milliseconds(800));
-    CHECK(world.sends(stream).size() == 2);
-    world.answerPathChange(stream, PathReply::Taken);
-    CHECK(world.sends(stream).size() == 2);
+    REQUIRE(harness.pathChanges(stream).size() == 1);
+    harness.advance(milliseconds(800));
+    CHECK(harness.sends(stream).size() == 2);
+    harness.answerPathChange(stream, PathReply::Accepted);
+    CHECK(harness.sends(stream).size() == 2);
 }
 
-// The new path has no room either. The stream is told yet another one before it
-// is sent again, which would cost a repeat.
-TEST_CASE("a change of path that is refused is tried again along another path")
+// Guards against a retry after the new path lacks memory too, while there is a third one.
+TEST_CASE("a refused path change is repeated with another path")
 {
     std::vector<RelayEngine> engines = twoPaths();
     engines.push_back({"c2", {4, 8}});
-    RelayHarness world(engines);
-    const RunningStreams running(world);
-    running.pass(world, 8);
+    RelayHarness harness(engines);
+    const RunningStreams running(harness);
+    running.advance(harness, 8);
     const FlightId stream = running.streams.front();
-    REQUIRE(world.pathChanges(stream).size() == 1);
-    const std::string full = world.pathChanges(stream).front().path.back().endpoint;
-    world.answerPathChange(stream, PathReply::Refused, full);
-    world.pass(milliseconds(50));
-    REQUIRE(world.pathChanges(stream).size() == 2);
-    CHECK(world.pathChanges(stream).back().path.back().endpoint != full);
-    CHECK(world.sends(stream).size() == 1);
-    CHECK_FALSE(world.end(stream));
-}
-
-// A machine is frozen for four seconds and wakes. All its streams seem silent
-// for that long, but the silence was its own: no engine is suspected, nothing
-// is sent again, nobody is refused.
-TEST_CASE("time that the process did not live through is charged to nobody")
-{
-    RelayHarness world(twoPaths());
+    REQUIRE(harness.pathChanges(stream).size() == 1);
+    const std::string full = harness.pathChanges(stream).front().path.back().endpoint;
+    harness.answerPathChange(stream, PathReply::Refused, full);
+    harness.advance(milliseconds(50));
+    REQUIRE(harness.pathChanges(stream).size() == 2);
+    CHECK(harness.pathChanges(stream).back().path.back().endpoint != full);
+    CHECK(harness.sends(stream).size() == 1);
+    CHECK_FALSE(harness.finished(stream));
+}
+
+// Guards against suspected engines, retries and refusals after the process was paused for four
+// seconds, in which all its streams seemed to be silent.
+TEST_CASE("a pause of the process is not counted as a pause of its streams")
+{
+    RelayHarness harness(twoPaths());
     std::vector<FlightId> streams;
     for (int i = 0; i < 6; ++i) {
-        streams.push_back(world.submit(RequestKind::Stream));
-        REQUIRE(world.answer(streams.back(), 200));
-        world.events(streams.back(), 1);
+        streams.push_back(harness.submit(RequestKind::Stream));
+        REQUIRE(harness.answer(streams.back(), 200));
+        harness.forwardEvents(streams.back(), 1);
     }
-    world.pass(milliseconds(100));
-    world.pass(milliseconds(4000), milliseconds(4000));
-    world.pass(milliseconds(50));
+    harness.advance(milliseconds(100));
+    harness.advance(milliseconds(4000), milliseconds(4000));
+    harness.advance(milliseconds(50));
     for (const FlightId stream : streams) {
-        CHECK(world.sends(stream).size() == 1);
-        CHECK_FALSE(world.end(stream));
+        CHECK(harness.sends(stream).size() == 1);
+        CHECK_FALSE(harness.finished(stream));
     }
-    CHECK(world.asked().empty());
-}
-
-// The engine was reported as leaving while the request waited for a connection,
-// or the process was paused until the caller's time was over.
-TEST_CASE("right before the bytes leave it is asked again whether they may")
-{
-    RelayHarness world(twoPaths());
-    const FlightId call = world.submit(RequestKind::Safe, milliseconds(1000));
-    const SendRequest send = world.sends(call).back();
-    CHECK(world.relay.maySend(call, send.attempt, world.now));
-    CHECK_FALSE(world.relay.maySend(call, send.attempt + 1, world.now));
-    CHECK_FALSE(world.relay.maySend(call, send.attempt, world.now + milliseconds(1000)));
-    world.drain(send.endpoint);
-    CHECK_FALSE(world.relay.maySend(call, send.attempt, world.now));
-}
-
-// While a connection to the first engine is made, another engine of the path
-// begins to leave: it would get a new request too.
-TEST_CASE("right before the bytes leave all engines of the path are asked for")
-{
-    RelayHarness world(twoPaths());
-    const FlightId stream = world.submit(RequestKind::Stream);
-    const SendRequest send = world.sends(stream).back();
-    REQUIRE(world.relay.maySend(stream, send.attempt, world.now));
-    world.drain(send.path.back().endpoint);
-    CHECK_FALSE(world.relay.maySend(stream, send.attempt, world.now));
-}
-
-// Also what goes on elsewhere is new work to the engine that gets it.
-TEST_CASE("an engine that leaves gets nothing new, not even a stream that goes on")
-{
-    RelayHarness world(twoPaths());
-    const FlightId stream = world.submit(RequestKind::Stream);
-    REQUIRE(world.answer(stream, 200));
-    world.events(stream, 1);
-    const bool onA = world.sends(stream).front().endpoint == "a1";
-    const std::string leaving = onA ? "b1" : "a1";
-    world.drain(leaving);
-    world.fail(stream, AttemptFailure::Broken);
+    CHECK(harness.queriedEngines().empty());
+}
+
+// Guards against requests sent by an outdated decision: the endpoint started draining while the
+// request waited for a connection, or the process was paused until the deadline.
+TEST_CASE("an attempt may not be sent after its deadline or to a draining endpoint")
+{
+    RelayHarness harness(twoPaths());
+    const FlightId call = harness.submit(RequestKind::Safe, milliseconds(1000));
+    const SendRequest send = harness.sends(call).back();
+    CHECK(harness.relay.maySend(call, send.attempt, harness.now));
+    CHECK_FALSE(harness.relay.maySend(call, send.attempt + 1, harness.now));
+    CHECK_FALSE(harness.relay.maySend(call, send.attempt, harness.now + milliseconds(1000)));
+    harness.drain(send.endpoint);
+    CHECK_FALSE(harness.relay.maySend(call, send.attempt, harness.now));
+}
+
+// Guards against a new request for an engine that started draining while the connection to the
+// first engine of the path was made.
+TEST_CASE("an attempt may not be sent if an engine of its path is draining")
+{
+    RelayHarness harness(twoPaths());
+    const FlightId stream = harness.submit(RequestKind::Stream);
+    const SendRequest send = harness.sends(stream).back();
+    REQUIRE(harness.relay.maySend(stream, send.attempt, harness.now));
+    harness.drain(send.path.back().endpoint);
+    CHECK_FALSE(harness.relay.maySend(stream, send.attempt, harness.now));
+}
+
+// Guards against streams that resume on a draining engine: they are new work for it.
+TEST_CASE("a draining engine receives neither new requests nor resumed streams")
+{
+    RelayHarness harness(twoPaths());
+    const FlightId stream = harness.submit(RequestKind::Stream);
+    REQUIRE(harness.answer(stream, 200));
+    harness.forwardEvents(stream, 1);
+    const bool onA = harness.sends(stream).front().endpoint == "a1";
+    const std::string draining = onA ? "b1" : "a1";
+    harness.drain(draining);
+    harness.fail(stream, AttemptFailure::Broken);
     for (int i = 0; i < 20; ++i) {
-        const FlightId other = world.submit(RequestKind::Stream);
-        for (const SendRequest &send : world.sends(other))
-            CHECK_FALSE(goesThrough(send, leaving));
+        const FlightId other = harness.submit(RequestKind::Stream);
+        for (const SendRequest &send : harness.sends(other))
+            CHECK_FALSE(passesThrough(send, draining));
     }
-    for (const SendRequest &send : world.sends(stream))
-        CHECK_FALSE(goesThrough(send, leaving));
+    for (const SendRequest &send : harness.sends(stream))
+        CHECK_FALSE(passesThrough(send, draining));
 }
 
-// Engines refuse for want of room, again and again. Each refusal costs one of
-// the few repeats, so such an engine is left alone longer each time.
-TEST_CASE("an engine that goes on refusing is asked less and less often")
+// Guards against the use of retries for engines that reject requests again and again for lack of
+// memory.
+TEST_CASE("an engine that rejects repeatedly is left out for longer each time")
 {
-    EngineTracker book;
+    EngineTracker tracker;
     Time now(std::chrono::hours(1));
     std::vector<Duration> pauses;
     for (int i = 0; i < 4; ++i) {
-        book.refusedBusy("e", now);
+        tracker.refusedBusy("e", now);
         Duration pause {};
-        while (!book.usable("e", now + pause))
+        while (!tracker.usable("e", now + pause))
             pause += milliseconds(10);
         pauses.push_back(pause);
         now += pause;
     }
     CHECK(pauses[1] > pauses[0]);
     CHECK(pauses[3] > pauses[2]);
-    book.resetRefusals("e");
-    book.refusedBusy("e", now);
-    CHECK(book.usable("e", now + pauses[0]));
+    tracker.resetRefusals("e");
+    tracker.refusedBusy("e", now);
+    CHECK(tracker.usable("e", now + pauses[0]));
 }
 
-// An idempotent call to an endpoint that is silent is tried elsewhere while
-// there is time; the caller gets one answer.
-TEST_CASE("a safe call that is not answered goes to another endpoint")
+// Guards against a call that waits for an unresponsive endpoint until its deadline.
+TEST_CASE("an unanswered idempotent call is sent to another endpoint")
 {
-    RelayHarness world(twoPaths());
-    const FlightId call = world.submit(RequestKind::Safe);
-    world.pass(milliseconds(600));
-    REQUIRE(world.sends(call).size() == 2);
-    CHECK(world.abandoned(call) == 1);
-    world.answer(call, 200);
-    CHECK(world.passed(call));
+    RelayHarness harness(twoPaths());
+    const FlightId call = harness.submit(RequestKind::Safe);
+    harness.advance(milliseconds(600));
+    REQUIRE(harness.sends(call).size() == 2);
+    CHECK(harness.abandoned(call) == 1);
+    harness.answer(call, 200);
+    CHECK(harness.passed(call));
 }
 
-// Guards against a change that is taken for older than the news that all else is as it was.
-TEST_CASE("an engine's new state is taken though its domain is known to be as told since")
+// Guards against a change that is ignored because it is older than the last confirmation that all
+// other states of the domain are unchanged.
+TEST_CASE("an engine's changed state applies although its domain was confirmed unchanged later")
 {
-    RelayHarness world({{"e1", {0, 8}}});
-    const auto used = [&] { return world.relay.book().load("e1", "near", world.now).used; };
-    const auto told = [&](double tokens, milliseconds age) {
+    RelayHarness harness({{"e1", {0, 8}}});
+    const auto used = [&] { return harness.relay.engines().load("e1", "near", harness.now).used; };
+    const auto report = [&](double tokens, milliseconds age) {
         EngineReports reports;
-        reports.changed.push_back({"e1", tokens, 1, 0, 1, false, world.now - age});
-        reports.asOf["near"] = world.now;
-        world.relay.applyEngineReports(reports, world.now, world.actions);
+        reports.changed.push_back({"e1", tokens, 1, 0, 1, false, harness.now - age});
+        reports.asOf["near"] = harness.now;
+        harness.relay.applyEngineReports(reports, harness.now, harness.actions);
     };
-    told(1000, milliseconds(100));
+    report(1000, milliseconds(100));
     CHECK(used() == 1000);
-    world.pass(milliseconds(300));
-    told(5000, milliseconds(100));
+    harness.advance(milliseconds(300));
+    report(5000, milliseconds(100));
     CHECK(used() == 5000);
-    world.pass(milliseconds(300));
-    told(7000, milliseconds(350)); // true before the news of a moment ago, and told late
+    harness.advance(milliseconds(300));
+    report(7000, milliseconds(350)); // older than the last confirmation
     CHECK(used() == 7000);
 }
 
-// Guards against a state that counts as unknown since nobody had to tell it again.
-TEST_CASE("an engine's state holds as long as its domain is known to be as told")
+// Guards against a state that expires because it did not change and was therefore not sent again.
+TEST_CASE("an engine's state stays valid while its domain is confirmed unchanged")
 {
-    RelayHarness world({{"e1", {0, 8}}});
+    RelayHarness harness({{"e1", {0, 8}}});
     EngineReports reports;
-    reports.changed.push_back({"e1", 1000, 1, 0, 1, false, world.now});
-    world.relay.applyEngineReports(reports, world.now, world.actions);
+    reports.changed.push_back({"e1", 1000, 1, 0, 1, false, harness.now});
+    harness.relay.applyEngineReports(reports, harness.now, harness.actions);
     reports.changed.clear();
     for (int second = 0; second < 5; ++second) {
-        world.pass(seconds(1));
-        reports.asOf["near"] = world.now;
-        world.relay.applyEngineReports(reports, world.now, world.actions);
+        harness.advance(seconds(1));
+        reports.asOf["near"] = harness.now;
+        harness.relay.applyEngineReports(reports, harness.now, harness.actions);
     }
-    CHECK(world.relay.book().load("e1", "near", world.now).reported);
-    world.pass(seconds(3));
-    CHECK_FALSE(world.relay.book().load("e1", "near", world.now).reported);
+    CHECK(harness.relay.engines().load("e1", "near", harness.now).reported);
+    harness.advance(seconds(3));
+    CHECK_FALSE(harness.relay.engines().load("e1", "near", harness.now).reported);
 }
 
-// Guards against news of an engine's silence that arrive after it was heard again.
-TEST_CASE("late news of silence shut no engine out that has answered since")
+// Guards against reports that arrive after a later answer of the engine, received here or by
+// another instance.
+TEST_CASE("an outdated report of an unresponsive engine is ignored after the engine answered")
 {
-    RelayHarness world({{"engine", {0, 8}}});
-    const Time silentAt = world.now;
-    world.pass(milliseconds(500));
+    RelayHarness harness({{"engine", {0, 8}}});
+    const Time unresponsiveAt = harness.now;
+    harness.advance(milliseconds(500));
     EngineState state;
     state.id = "engine";
-    const bool heardItself = GENERATE(true, false);
-    if (heardItself) {
-        world.answer(world.submit(RequestKind::Stream), 200);
+    const bool answeredHere = GENERATE(true, false);
+    if (answeredHere) {
+        harness.answer(harness.submit(RequestKind::Stream), 200);
     } else {
-        state.at = world.now;
-        world.relay.applyEngineReports({{state}, {}}, world.now, world.actions);
+        state.at = harness.now;
+        harness.relay.applyEngineReports({{state}, {}}, harness.now, harness.actions);
     }
-    state.at = silentAt;
+    state.at = unresponsiveAt;
     state.silent = true;
-    world.relay.applyEngineReports({{state}, {}}, world.now, world.actions);
-    CHECK(world.relay.book().usable("engine", world.now));
-    world.pass(milliseconds(500));
-    state.at = world.now;
-    world.relay.applyEngineReports({{state}, {}}, world.now, world.actions);
-    CHECK_FALSE(world.relay.book().usable("engine", world.now));
+    harness.relay.applyEngineReports({{state}, {}}, harness.now, harness.actions);
+    CHECK(harness.relay.engines().usable("engine", harness.now));
+    harness.advance(milliseconds(500));
+    state.at = harness.now;
+    harness.relay.applyEngineReports({{state}, {}}, harness.now, harness.actions);
+    CHECK_FALSE(harness.relay.engines().usable("engine", harness.now));
 }
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -230,7 +230,7 @@
         }
         REQUIRE(all.starts_with(complete));
         REQUIRE((complete.empty() || complete.ends_with("\n\n")));
-        REQUIRE(complete.size() + splitter.held() == stop);
+        REQUIRE(complete.size() + splitter.bufferedBytes() == stop);
         REQUIRE(
             splitter.lastId().value_or(0)
             == static_cast<std::uint64_t>(std::count(complete.begin(), complete.end(), '\n') / 3));
--- a/src/libbalsamloft/trialpermits.cpp
+++ b/src/libbalsamloft/trialpermits.cpp
@@ -31,11 +31,11 @@
 {
 }
 
-void TrialPermits::learn(std::vector<TrialRow> rows, std::span<const CrashRecord> crashes)
+void TrialPermits::setRows(std::vector<TrialRow> rows, std::span<const CrashRecord> crashes)
 {
     std::map<std::string, TrialRow, std::less<>> known;
     for (TrialRow &each : rows) {
-        // An own write may be newer than what others told.
+        // A write of this instance may be newer than the received row.
         const auto before = m_rows.find(each.key);
         if (before != m_rows.end() && before->second.version > each.version)
             each = before->second;
@@ -52,68 +52,68 @@
     const auto it = m_rows.find(key);
     if (it != m_rows.end())
         return it->second;
-    TrialRow none;
-    none.key = key;
-    return none;
+    TrialRow missing;
+    missing.key = key;
+    return missing;
 }
 
-bool TrialPermits::runs(const TrialRow &row, Time storeNow) const
+bool TrialPermits::isRunning(const TrialRow &row, Time storeNow) const
 {
-    return !row.at.empty() && storeNow < row.until + m_settings.margin;
+    return !row.counterpart.empty() && storeNow < row.until + m_settings.margin;
 }
 
-bool TrialPermits::endTold(const std::string &digest, const std::string &endpoint) const
+bool TrialPermits::crashPublished(const std::string &digest, const std::string &endpoint) const
 {
     return m_crashes.contains({digest, endpoint});
 }
 
-Duration TrialPermits::waitFor(const TrialRow &row, Time storeNow) const
+Duration TrialPermits::retryDelay(const TrialRow &row, Time storeNow) const
 {
-    // Most tries are over long before their time.
+    // Without the margin: most trials finish long before their permits expire.
     return std::max(m_settings.retryInterval, row.until - storeNow);
 }
 
 std::variant<TrialChange, TrialAnswer>
-TrialPermits::ask(const TrialRequest &request, const FleetSnapshot &fleet, Time storeNow) const
+TrialPermits::decide(const TrialRequest &request, const FleetSnapshot &fleet, Time storeNow) const
 {
     TrialRow content = row(contentTrialKey(request.digest));
-    const bool told = endTold(request.digest, content.at);
-    if (!told && runs(content, storeNow))
-        return TrialAnswer {false, {}, false, waitFor(content, storeNow)};
+    const bool isPublished = crashPublished(request.digest, content.counterpart);
+    if (!isPublished && isRunning(content, storeNow))
+        return TrialAnswer {false, {}, false, retryDelay(content, storeNow)};
     TrialChange change;
-    if (!told && !content.at.empty() && !fleet.find(content.at)) {
-        change.crash = CrashRecord {request.digest, content.at, content.until};
-        content.at.clear();
+    if (!isPublished && !content.counterpart.empty() && !fleet.find(content.counterpart)) {
+        change.crash = CrashRecord {request.digest, content.counterpart, content.until};
+        content.counterpart.clear();
         change.rows = {content};
         return change;
     }
-    if (request.limited && content.tries >= m_settings.maxTrials)
+    if (request.limited && content.trials >= m_settings.maxTrials)
         return TrialAnswer {false, {}, false, content.until + m_settings.retention - storeNow};
     TrialRow endpoint = row(endpointTrialKey(request.endpoint));
-    if (runs(endpoint, storeNow))
+    if (isRunning(endpoint, storeNow))
         return TrialAnswer {false, {}, true, m_settings.retryInterval};
-    content.at = request.endpoint;
-    endpoint.at = request.digest;
-    content.tries += request.limited ? 1 : 0;
+    content.counterpart = request.endpoint;
+    endpoint.counterpart = request.digest;
+    content.trials += request.limited ? 1 : 0;
     content.holder = endpoint.holder = m_settings.holder;
-    content.until = endpoint.until = storeNow + m_settings.lasts;
+    content.until = endpoint.until = storeNow + m_settings.validFor;
     change.rows = {std::move(content), std::move(endpoint)};
     return change;
 }
 
-TrialAnswer TrialPermits::answer(const TrialRequest &request, const TrialChange &asked,
+TrialAnswer TrialPermits::answer(const TrialRequest &request, const TrialChange &change,
                                  bool committed, Time storeNow) const
 {
-    if (committed && !asked.crash)
-        return {true, m_settings.lasts, false, {}};
+    if (committed && !change.crash)
+        return {true, m_settings.validFor, false, {}};
     const TrialRow content = row(contentTrialKey(request.digest));
-    const bool taken = !committed && !runs(content, storeNow)
-                       && runs(row(endpointTrialKey(request.endpoint)), storeNow);
-    return {false, {}, taken, waitFor(content, storeNow)};
+    const bool endpointBusy = !committed && !isRunning(content, storeNow)
+                              && isRunning(row(endpointTrialKey(request.endpoint)), storeNow);
+    return {false, {}, endpointBusy, retryDelay(content, storeNow)};
 }
 
-void TrialPermits::written(const TrialChange &change, bool committed, std::uint64_t version,
-                           std::span<const TrialRow> found)
+void TrialPermits::recordWrite(const TrialChange &change, bool committed, std::uint64_t version,
+                               std::span<const TrialRow> found)
 {
     for (const TrialRow &each : found)
         m_rows.insert_or_assign(each.key, each);
@@ -129,21 +129,23 @@
         m_crashes.emplace(change.crash->digest, change.crash->endpoint);
 }
 
-std::optional<TrialChange> TrialPermits::release(const std::string &digest, TrialOutcome end) const
+std::optional<TrialChange> TrialPermits::release(const std::string &digest,
+                                                 TrialOutcome outcome) const
 {
     TrialRow content = row(contentTrialKey(digest));
-    const TrialRow endpoint = row(endpointTrialKey(content.at));
-    if (content.at.empty() || content.holder != m_settings.holder || endpoint.at != digest)
+    const TrialRow endpoint = row(endpointTrialKey(content.counterpart));
+    if (content.counterpart.empty() || content.holder != m_settings.holder
+        || endpoint.counterpart != digest)
         return std::nullopt;
     TrialChange change;
     change.removed.push_back(endpoint);
-    if (end == TrialOutcome::Succeeded) {
+    if (outcome == TrialOutcome::Succeeded) {
         change.removed.push_back(std::move(content));
         return change;
     }
-    if (end == TrialOutcome::NotSent && content.tries > 0)
-        content.tries -= 1;
-    content.at.clear();
+    if (outcome == TrialOutcome::NotSent && content.trials > 0)
+        content.trials -= 1;
+    content.counterpart.clear();
     change.rows.push_back(std::move(content));
     return change;
 }
