--- a/src/include/balsamloft/coverage.h
+++ b/src/include/balsamloft/coverage.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which layers of a model engines hold, and which nobody does.
+/// How many engines hold each layer of a model.
 
 #pragma once
 
@@ -13,27 +13,28 @@
 
 namespace balsamloft {
 
-/// Counts an engine that holds \a range in \a copies, one number for each layer.
-void addHolder(LayerRange range, std::span<std::uint32_t> copies);
+/// Adds an engine that holds \a range to \a holders, the number of holders of each layer.
+void addHolder(LayerRange range, std::span<std::uint32_t> holders);
 
-/// How often each layer of a model is held.
+/// The number of engines that hold each layer of a model.
 class Coverage
 {
 public:
-    /// Engines of \a service in \a domain that stay; an empty domain means all.
+    /// Counts the engines of \a service in \a domain that are not draining. An empty
+    /// \a domain counts the engines of all domains.
     Coverage(const FleetSnapshot &fleet, const RoutedService &service, std::string_view domain);
 
-    /// The least number of engines that hold a layer.
+    /// Number of holders of the layer with the fewest holders.
     std::uint32_t minHolders() const;
 
-    /// Layers that exactly one engine holds.
+    /// Number of layers with exactly one holder.
     std::uint32_t layersHeldOnce() const;
 
-    /// Ranges of layers that nobody holds, as "26-38,70-80"; empty: none.
+    /// Ranges of layers without a holder, such as "26-38,70-80"; empty if there are none.
     std::string gaps() const;
 
 private:
-    std::vector<std::uint32_t> m_copies; ///< of each layer
+    std::vector<std::uint32_t> m_holders; ///< by layer
 };
 
 } // namespace balsamloft
--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -1,5 +1,5 @@
 /// \file
-/// Closes gaps in a domain's copy of a model by additions alone.
+/// Closes coverage gaps of a domain by making engines load additional layers.
 
 #pragma once
 
@@ -14,60 +14,61 @@
 /// Settings of a GapFiller.
 struct GapFillerSettings
 {
-    /// How long a gap lasts before it is filled: less than any load takes, longer
-    /// than the news of a load that has just ended.
-    Duration grace {150'000};
-    /// How long an engine that holds nothing is left to whoever holds the lease, who gives
-    /// it layers at once. Counted from when it is first seen beside a gap.
+    /// How long a gap lasts before it is closed: less than loading layers takes, and longer
+    /// than the report of a load that has just finished takes to arrive.
+    Duration gapDelay {150'000};
+    /// How long an empty engine is left to the lease holder, which assigns layers to it at
+    /// once. Counted from when the engine is first seen while there is a gap.
     Duration emptyEngineDelay {1'500'000};
     double minEngineHeadroom = 0.06; ///< share of each engine's memory kept for requests
-    double emptyEngineHeadroom = 0.15; ///< the same for an engine that held nothing
-    /// The same for layers that it takes beyond the gap.
+    double emptyEngineHeadroom = 0.15; ///< the same for an engine that held no layers
+    /// The same for an empty engine that takes more layers than the gap has.
     double beyondGapHeadroom = 0.4;
-    Duration orderLifetime {13'000'000}; ///< an order without an answer may act for so long
-    Duration refusalBackoff {600'000}; ///< an engine that refused is told nothing so long
+    Duration orderLifetime {13'000'000}; ///< an unanswered order may take effect until then
+    Duration refusalBackoff {600'000}; ///< without orders for an engine that refused one
 };
 
-/// Fills layers that nobody in a domain holds: neighbours of the gap grow over
-/// it, or an engine that holds nothing takes it. Nothing is given up, and each
-/// order fits its engine's memory by itself. So two that fill the same gap at once
-/// do no harm, and whoever hears the domain's engines may act, without a lease and
-/// while the store is down. An order that an engine carries out late may take back
-/// what it was told since; memory is not exceeded, and the gap is filled again.
+/// Closes coverage gaps of a domain: neighbours of the gap extend their ranges over it, or
+/// an empty engine loads it. No engine releases layers, and each order by itself fits its
+/// engine's memory. Instances that close the same gap at the same time therefore do no
+/// harm, and any instance that receives the domain's engine states may act, without a lease
+/// and while the store is unavailable. An order that is carried out late may undo a newer
+/// one; memory is not exceeded even then, and the gap is closed again.
 ///
-/// What it answers: an engine dies that alone held its layers, and no path lies
-/// in the domain any more. A move waits for the streams that pass through what
-/// it gives up, 3 to 10 s; an addition loads a few layers, a second or two. With
-/// engines that die while the lease or the store is away, 0.015 ±0.009 more of what
-/// callers' requests are worth was earned (25 simulated loads), else nothing.
+/// Covers the crash of an engine that was the only holder of its layers, after which the
+/// domain has no complete path. A move has to wait 3 to 10 s for the requests that use the
+/// released layers; an addition loads a few layers in one or two seconds. While engines
+/// crash and the lease or the store is unavailable, this gains 0.015 of the total value of
+/// the callers' requests; otherwise it gains nothing.
 class GapFiller
 {
 public:
-    /// An engine as it lies, or as it was told to lie.
+    /// An engine with the layers that it holds or was ordered to hold.
     struct Engine
     {
         const FleetEndpoint *endpoint = nullptr;
         LayerRange layers;
-        std::uint32_t most = 0; ///< layers that it can hold
-        bool free = true; ///< may be told something now
-        std::uint32_t beyondGap = 0; ///< layers that it may hold beyond what a gap needs
+        std::uint32_t maxLayers = 0; ///< that fit its memory
+        bool available = true; ///< may get an order now
+        /// Layers that it takes if it is empty and the gap has fewer.
+        std::uint32_t preferredLayers = 0;
 
-        std::uint32_t spare() const;
+        std::uint32_t spareLayers() const;
     };
 
     explicit GapFiller(GapFillerSettings settings = {});
 
     // Commands
 
-    /// The orders to give now. \a silent: ids of engines that do not answer.
+    /// Returns the orders to send now. \a silent: ids of engines that do not answer.
     std::vector<LayerOrder> fill(const FleetSnapshot &fleet, const RoutedService &service,
                                  std::string_view domain, const std::set<std::string> &silent,
                                  Time now);
 
-    /// The engine took the order, or may have taken it.
+    /// The engine accepted \a order, or may have accepted it.
     void orderSent(const LayerOrder &order, Time now) { m_orders.orderSent(order, now); }
 
-    /// The engine did not take the order.
+    /// The engine did not accept the order.
     void orderRefused(const std::string &endpoint, Time now)
     {
         m_orders.orderRefused(endpoint, now);
@@ -75,13 +76,13 @@
 
     // Queries
 
-    /// Whether \a order still gives nothing up of what its engine holds now. It was
-    /// decided from a report that may be a second old: an engine that was moved
-    /// since would drop what it has just loaded. To be asked right before it is sent.
+    /// Whether \a order includes all layers that its engine holds now. The order was decided
+    /// from a report that may be a second old: if the engine was moved since, the order would
+    /// make it release what it has just loaded. Check this right before sending.
     static bool keepsHeldLayers(const LayerOrder &order, LayerRange held);
 
-    /// Whether additions to \a engines that hold something would close all gaps in
-    /// \a layers layers.
+    /// Whether additions to those of \a engines that hold layers can close all gaps in a
+    /// model of \a layers layers.
     static bool canCloseAllGaps(std::vector<Engine> engines, std::uint32_t layers);
 
 private:
@@ -90,14 +91,15 @@
                                 Time now);
     static LayerRange firstGap(const std::vector<Engine> &engines, std::uint32_t layers,
                                std::uint32_t from);
-    static std::vector<LayerOrder> close(std::vector<Engine> &engines, LayerRange gap,
-                                         std::uint32_t layers);
+    static std::vector<LayerOrder> closeGap(std::vector<Engine> &engines, LayerRange gap,
+                                            std::uint32_t layers);
     void delayEmptyEngines(std::vector<Engine> &engines, Time now);
 
     GapFillerSettings m_settings;
     PendingOrders m_orders;
     std::map<std::string, Time, std::less<>> m_gapSince; ///< by service
-    std::map<std::string, Time, std::less<>> m_emptySince; ///< by endpoint, beside a gap
+    /// By endpoint: when an empty engine was first seen while there was a gap.
+    std::map<std::string, Time, std::less<>> m_emptySince;
 };
 
 } // namespace balsamloft
--- a/src/include/balsamloft/layerorders.h
+++ b/src/include/balsamloft/layerorders.h
@@ -1,5 +1,5 @@
 /// \file
-/// Orders to hold layers, and what engines may still do because of them.
+/// Orders that make engines hold layers, and which of them are still pending.
 
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace balsamloft {
 
-/// An order to hold a range of layers, and the reason.
+/// An order to an engine to hold a range of layers, with the reason for it.
 struct LayerOrder
 {
     std::string endpoint; ///< id
@@ -18,41 +18,41 @@
     std::string address;
     LayerRange layers;
     std::string reason;
-    bool additive = false; ///< gives nothing up: may be given without the lease
+    bool additive = false; ///< releases no layers, so it may be sent without the lease
 };
 
-/// The order that \a endpoint hold \a layers.
+/// Returns an order to \a endpoint to hold \a layers.
 LayerOrder layerOrder(const FleetEndpoint &endpoint, LayerRange layers, std::string_view reason);
 
-/// Orders that engines were given and do not show yet. One without an answer may
-/// be carried out seconds later: until then the engine counts as holding what it
-/// was told, and is told nothing else.
+/// Orders that were sent and whose effect the fleet does not show yet. An engine may carry
+/// out an unanswered order seconds later, so until then it counts as holding the ordered
+/// layers and gets no other order.
 class PendingOrders
 {
 public:
-    /// \a life: an order without an answer may act for so long; \a refusalBackoff: an
-    /// engine that refused is told nothing so long.
-    PendingOrders(Duration life, Duration refusalBackoff);
+    /// \a lifetime: how long an unanswered order may still take effect.
+    /// \a refusalBackoff: how long an engine that refused an order gets no other one.
+    PendingOrders(Duration lifetime, Duration refusalBackoff);
 
     // Commands
 
-    /// The engine took the order, or may have taken it.
+    /// The engine accepted \a order, or may have accepted it.
     void orderSent(const LayerOrder &order, Time now);
 
-    /// The engine did not take the order.
+    /// The engine did not accept the order.
     void orderRefused(const std::string &endpoint, Time now);
 
-    /// Forgets orders that the engines of \a fleet show as carried out, or that
-    /// cannot act any more.
+    /// Removes orders that \a fleet shows as carried out, and those that can no longer take
+    /// effect.
     void expire(const FleetSnapshot &fleet, Time now);
 
     // Queries
 
-    /// What an engine holds or was told to hold.
+    /// The layers that an engine holds or was ordered to hold.
     struct Holding
     {
         LayerRange layers;
-        bool free = true; ///< the engine may be told something now
+        bool available = true; ///< the engine may get an order now
     };
     Holding holding(const FleetEndpoint &endpoint) const;
 
@@ -61,10 +61,10 @@
     {
         LayerRange layers;
         Time since {};
-        bool orderRefused = false;
+        bool refused = false;
     };
 
-    Duration m_life;
+    Duration m_lifetime;
     Duration m_refusalBackoff;
     std::map<std::string, Pending, std::less<>> m_pending; ///< by endpoint
 };
--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which layers each engine is to hold.
+/// Decides which layers each engine is to hold.
 
 #pragma once
 
@@ -16,32 +16,33 @@
 /// Settings of a LayerPlanner.
 struct LayerPlannerSettings
 {
-    double replicaHeadroom = 0.5; ///< memory of a whole copy beyond the model, over the model's
-    double minReplicaHeadroom = 0.12; ///< the same for the last copy
+    /// Memory that a replica's engines have beyond the model's size, as a share of that size.
+    double replicaHeadroom = 0.5;
+    double minReplicaHeadroom = 0.12; ///< the same for the last replica
     double minEngineHeadroom = 0.06; ///< share of each engine's memory kept for requests
-    double emptyEngineHeadroom = 0.15; ///< the same for an engine added to a working plan
-    /// No new engine for so long before the first plan. Longer than the time in
-    /// which each engine writes itself down once: a plan for the first few of them
-    /// puts their copy of the model on whichever came first, slow or fast.
+    double emptyEngineHeadroom = 0.15; ///< the same for an empty engine
+    /// Time without a new engine before the first plan. Longer than the interval at which
+    /// engines register: a plan for only some of them would mix slow and fast engines in one
+    /// replica.
     Duration startupDelay {1'450'000};
-    Duration gapDelay {700'000}; ///< how long a gap may mend itself
-    /// The same for a gap that additions close (GapFiller), which need no lease:
-    /// one is found at once and loads for a second or two. Where additions do not
-    /// close the gap, waiting so long earned 0.020 ±0.010 less (29 simulated loads).
+    Duration gapDelay {700'000}; ///< before moves close a gap: it may close by itself
+    /// The same for a gap that additions can close (GapFiller): they need no lease, start at
+    /// once and take a second or two. Other gaps get the shorter gapDelay, because waiting
+    /// this long for them costs 0.020 of the total value of the callers' requests.
     Duration additionDelay {3'000'000};
-    /// After so long a gap that no moves close leads to a new plan of the domain.
-    /// It moves many engines at once, and each of them serves nothing meanwhile:
-    /// one that came 0.5 s after the first moves kept a domain without a path for
-    /// 9 s (traced run); moves take up to 4 s.
+    /// Time after which a gap that moves don't close leads to a new plan for the domain. Such
+    /// a plan moves many engines at once, and none of them serves requests meanwhile. Moves
+    /// take up to 4 s; a new plan only 0.5 s after the first moves left a domain without a
+    /// path for 9 s.
     Duration replanAfter {6'000'000};
-    Duration moveInterval {2'500'000}; ///< between two moves that mend no gap
-    Duration orderLifetime {13'000'000}; ///< an order without an answer may act for so long
-    double minGain = 120; ///< of a move that mends no gap
+    Duration moveInterval {2'500'000}; ///< between two moves that close no gap
+    Duration orderLifetime {13'000'000}; ///< an unanswered order may take effect until then
+    double minGain = 120; ///< in cost, of a move that closes no gap
 };
 
-/// Decides which engines hold which layers, from what they hold now: it keeps
-/// no plan of its own, so another instance can go on at any moment. Time is an
-/// argument; nothing is sent here.
+/// Decides which engines hold which layers, based on the layers that they hold now. It
+/// stores no plan, so another instance can take over at any time. Time is passed in, and the
+/// caller sends the orders.
 class LayerPlanner
 {
 public:
@@ -49,33 +50,33 @@
 
     // Commands
 
-    /// The orders to give now for the engines of \a service.
+    /// Returns the orders to send now to the engines of \a service.
     std::vector<LayerOrder> plan(const FleetSnapshot &fleet, const RoutedService &service,
                                  Time now);
 
-    /// The engine took the order, or may have taken it.
+    /// The engine accepted \a order, or may have accepted it.
     void orderSent(const LayerOrder &order, Time now) { m_orders.orderSent(order, now); }
 
-    /// The engine did not take the order.
+    /// The engine did not accept the order.
     void orderRefused(const std::string &endpoint, Time now)
     {
         m_orders.orderRefused(endpoint, now);
     }
 
 private:
-    /// An engine as the plan sees it.
+    /// An engine with the layers that it is planned to hold.
     struct Engine
     {
         const FleetEndpoint *endpoint = nullptr;
         const AcceleratorKind *kind = nullptr;
-        LayerRange layers; ///< held, or ordered
-        bool movable = true;
+        LayerRange layers; ///< held or ordered
+        bool movable = true; ///< may get an order now
 
-        std::uint32_t most(const LayeredModel &model, double room) const;
+        std::uint32_t maxLayers(const LayeredModel &model, double headroom) const;
     };
 
-    /// Engines that together are to hold the model: a domain's, or those of
-    /// several domains that are too small alone.
+    /// Engines that are to hold the model together: those of one domain, or those of all
+    /// domains that are too small to hold it alone.
     struct Group
     {
         std::string name;
@@ -84,38 +85,40 @@
 
     class Costs;
 
-    /// What was seen of a group, to wait before acting.
-    struct Watch
+    /// Past observations of a group, from which the delays are counted.
+    struct GroupHistory
     {
         std::size_t engines = 0;
         Time changedAt {};
         std::optional<Time> gapSince;
-        std::optional<Time> filledSince; ///< by others, with an engine that held nothing
-        Time movedAt {};
+        std::optional<Time> filledSince; ///< an empty engine carries out another instance's order
+        Time lastMoveAt {};
     };
 
     std::vector<Group> groups(const FleetSnapshot &fleet, const RoutedService &service, Time now);
     std::vector<Engine> engines(const FleetSnapshot &fleet, const RoutedService &service, Time now);
-    static std::vector<LayerOrder> tile(Group &group, const LayeredModel &model,
-                                        const LayerPlannerSettings &settings,
-                                        std::string_view reason);
+    static std::vector<LayerOrder> planFromScratch(Group &group, const LayeredModel &model,
+                                                   const LayerPlannerSettings &settings,
+                                                   std::string_view reason);
     static std::vector<std::vector<Engine *>>
-    splitIntoReplicas(const std::vector<Engine *> &engines, double whole,
+    splitIntoReplicas(const std::vector<Engine *> &engines, double modelMegabytes,
                       const LayerPlannerSettings &settings);
-    static void assignLayers(const std::vector<Engine *> &cover, const LayeredModel &model,
-                             double room, std::string_view reason, std::vector<LayerOrder> &orders);
-    void placeFree(Group &group, const LayeredModel &model, std::vector<LayerOrder> &orders);
+    static void assignLayers(const std::vector<Engine *> &replica, const LayeredModel &model,
+                             double headroom, std::string_view reason,
+                             std::vector<LayerOrder> &orders);
+    void placeEmptyEngines(Group &group, const LayeredModel &model,
+                           std::vector<LayerOrder> &orders);
     bool additionsCanClose(const Group &group, const LayeredModel &model) const;
-    bool filledByOthers(const Group &group, Watch &watch, Time now) const;
-    void mend(Group &group, const LayeredModel &model, Watch &watch, Time now,
-              std::vector<LayerOrder> &orders);
-    bool bestMove(Group &group, const LayeredModel &model, double minGain,
-                  std::vector<LayerOrder> &orders, std::string_view reason);
-    static std::vector<std::uint32_t> copies(const Group &group, const LayeredModel &model);
+    bool filledByOthers(const Group &group, GroupHistory &history, Time now) const;
+    void repair(Group &group, const LayeredModel &model, GroupHistory &history, Time now,
+                std::vector<LayerOrder> &orders);
+    bool makeBestMove(Group &group, const LayeredModel &model, double minGain,
+                      std::vector<LayerOrder> &orders, std::string_view reason);
+    static std::vector<std::uint32_t> holderCounts(const Group &group, const LayeredModel &model);
 
     LayerPlannerSettings m_settings;
     PendingOrders m_orders;
-    std::map<std::string, Watch, std::less<>> m_watches;
+    std::map<std::string, GroupHistory, std::less<>> m_histories;
 };
 
 } // namespace balsamloft
--- a/src/libbalsamloft/gapfiller.cpp
+++ b/src/libbalsamloft/gapfiller.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::string_view GrowReason = "its neighbour's layers have no holder";
-constexpr std::string_view FreeReason = "it holds nothing, and these layers have no holder";
+constexpr std::string_view NeighbourReason = "the adjacent layers have no holder";
+constexpr std::string_view EmptyReason = "the engine is empty and these layers have no holder";
 
 } // namespace
 
@@ -20,9 +20,9 @@
 {
 }
 
-std::uint32_t GapFiller::Engine::spare() const
+std::uint32_t GapFiller::Engine::spareLayers() const
 {
-    return free && most > layers.length() ? most - layers.length() : 0;
+    return available && maxLayers > layers.length() ? maxLayers - layers.length() : 0;
 }
 
 std::vector<GapFiller::Engine> GapFiller::engines(const FleetSnapshot &fleet,
@@ -38,10 +38,10 @@
         if (each.service != service.name || each.domain != domain || each.draining || !kind
             || silent.contains(each.id) || replaced.contains(each.id))
             continue;
-        const double room = each.layers.length() > 0 ? m_settings.minEngineHeadroom
-                                                     : m_settings.emptyEngineHeadroom;
-        const auto [layers, free] = m_orders.holding(each);
-        found.push_back({&each, layers, service.model->maxLayers(*kind, room), free,
+        const double headroom = each.layers.length() > 0 ? m_settings.minEngineHeadroom
+                                                         : m_settings.emptyEngineHeadroom;
+        const auto [layers, available] = m_orders.holding(each);
+        found.push_back({&each, layers, service.model->maxLayers(*kind, headroom), available,
                          service.model->maxLayers(*kind, m_settings.beyondGapHeadroom)});
     }
     return found;
@@ -50,62 +50,66 @@
 LayerRange GapFiller::firstGap(const std::vector<Engine> &engines, std::uint32_t layers,
                                std::uint32_t from)
 {
-    std::vector<std::uint32_t> held(layers, 0);
+    std::vector<std::uint32_t> holders(layers, 0);
     for (const Engine &each : engines)
-        addHolder(each.layers, held);
+        addHolder(each.layers, holders);
     std::uint32_t begin = from;
-    while (begin < layers && held[begin] > 0)
+    while (begin < layers && holders[begin] > 0)
         ++begin;
     std::uint32_t end = begin;
-    while (end < layers && held[end] == 0)
+    while (end < layers && holders[end] == 0)
         ++end;
     return {begin, end};
 }
 
-/// Orders that close \a gap as a whole, with the fewest layers to load; none when
-/// additions cannot.
-std::vector<LayerOrder> GapFiller::close(std::vector<Engine> &engines, LayerRange gap,
-                                         std::uint32_t layers)
+/// Returns orders that close all of \a gap with the fewest layers to load, or none if
+/// additions can't close it.
+std::vector<LayerOrder> GapFiller::closeGap(std::vector<Engine> &engines, LayerRange gap,
+                                            std::uint32_t layers)
 {
     const std::uint32_t size = gap.length();
-    Engine *below = nullptr; // ends where the gap begins
-    Engine *above = nullptr; // begins where it ends
-    Engine *empty = nullptr; // the smallest that is large enough
+    Engine *below = nullptr; // holds the layers right before the gap
+    Engine *above = nullptr; // holds the layers right after the gap
+    Engine *empty = nullptr; // the smallest empty engine that can hold the gap
     for (Engine &each : engines) {
-        if (each.spare() == 0)
+        if (each.spareLayers() == 0)
             continue;
         if (each.layers.length() == 0) {
-            if (each.most >= size && (!empty || each.most < empty->most))
+            if (each.maxLayers >= size && (!empty || each.maxLayers < empty->maxLayers))
                 empty = &each;
-        } else if (each.layers.end == gap.begin && (!below || each.spare() > below->spare())) {
+        } else if (each.layers.end == gap.begin
+                   && (!below || each.spareLayers() > below->spareLayers())) {
             below = &each;
-        } else if (each.layers.begin == gap.end && (!above || each.spare() > above->spare())) {
+        } else if (each.layers.begin == gap.end
+                   && (!above || each.spareLayers() > above->spareLayers())) {
             above = &each;
         }
     }
-    const std::uint32_t down = below ? std::min(below->spare(), size) : 0;
-    const std::uint32_t up = above ? std::min(above->spare(), size) : 0;
+    const std::uint32_t fromBelowMax = below ? std::min(below->spareLayers(), size) : 0;
+    const std::uint32_t fromAboveMax = above ? std::min(above->spareLayers(), size) : 0;
     std::vector<LayerOrder> orders;
-    const auto give = [&](Engine &engine, LayerRange range, std::string_view reason) {
+    const auto assign = [&](Engine &engine, LayerRange range, std::string_view reason) {
         engine.layers = range;
-        engine.free = false;
+        engine.available = false;
         orders.push_back(layerOrder(*engine.endpoint, range, reason));
         orders.back().additive = true;
     };
-    if (down + up >= size) {
-        // Both at once, in proportion to their room: the load is over sooner.
-        const auto share = static_cast<std::uint32_t>(std::lround(
-            static_cast<double>(size) * down / static_cast<double>(std::max(1U, down + up))));
-        const std::uint32_t fromBelow = std::clamp(share, size - std::min(size, up), down);
+    if (fromBelowMax + fromAboveMax >= size) {
+        // Both load a share in proportion to their spare layers, which takes less time.
+        const auto share = static_cast<std::uint32_t>(
+            std::lround(static_cast<double>(size) * fromBelowMax
+                        / static_cast<double>(std::max(1U, fromBelowMax + fromAboveMax))));
+        const std::uint32_t fromBelow =
+            std::clamp(share, size - std::min(size, fromAboveMax), fromBelowMax);
         if (fromBelow > 0)
-            give(*below, {below->layers.begin, gap.begin + fromBelow}, GrowReason);
+            assign(*below, {below->layers.begin, gap.begin + fromBelow}, NeighbourReason);
         if (fromBelow < size)
-            give(*above, {gap.begin + fromBelow, above->layers.end}, GrowReason);
+            assign(*above, {gap.begin + fromBelow, above->layers.end}, NeighbourReason);
     } else if (empty) {
-        // What it holds beyond the gap doubles the layers after it.
-        const std::uint32_t count = std::min(layers, std::max(size, empty->beyondGap));
+        // The layers beyond the gap get an additional holder.
+        const std::uint32_t count = std::min(layers, std::max(size, empty->preferredLayers));
         const std::uint32_t begin = std::min(gap.begin, layers - count);
-        give(*empty, {begin, begin + count}, FreeReason);
+        assign(*empty, {begin, begin + count}, EmptyReason);
     }
     return orders;
 }
@@ -113,10 +117,10 @@
 bool GapFiller::canCloseAllGaps(std::vector<Engine> engines, std::uint32_t layers)
 {
     for (Engine &each : engines)
-        each.free = each.free && each.layers.length() > 0;
+        each.available = each.available && each.layers.length() > 0;
     for (LayerRange gap = firstGap(engines, layers, 0); gap.length() > 0;
          gap = firstGap(engines, layers, gap.end))
-        if (close(engines, gap, layers).empty())
+        if (closeGap(engines, gap, layers).empty())
             return false;
     return true;
 }
@@ -126,9 +130,9 @@
     return held.length() == 0 || (order.layers.begin <= held.begin && order.layers.end >= held.end);
 }
 
-/// An engine that has only just been seen without layers is told nothing. The holder of
-/// the lease sees it too; were both to give it layers, neither would know of the other's
-/// order, and one of them would close the gap again with engines that are needed elsewhere.
+/// Excludes engines that were first seen empty only recently. The lease holder may assign layers to
+/// them too. Neither side sees the other's order, so one of them would then close the gap a second
+/// time, with engines that are needed elsewhere.
 void GapFiller::delayEmptyEngines(std::vector<Engine> &engines, Time now)
 {
     for (Engine &each : engines) {
@@ -136,8 +140,8 @@
             m_emptySince.erase(each.endpoint->id);
             continue;
         }
-        const auto [since, fresh] = m_emptySince.try_emplace(each.endpoint->id, now);
-        each.free = each.free && now - since->second >= m_settings.emptyEngineDelay;
+        const auto [since, inserted] = m_emptySince.try_emplace(each.endpoint->id, now);
+        each.available = each.available && now - since->second >= m_settings.emptyEngineDelay;
     }
 }
 
@@ -149,23 +153,23 @@
     if (!service.model || service.model->layers == 0)
         return orders;
     const std::uint32_t layers = service.model->layers;
-    std::vector<Engine> all = engines(fleet, service, domain, silent, now);
-    // A domain where nothing lies yet waits for its first plan.
-    const bool empty = std::all_of(all.begin(), all.end(),
+    std::vector<Engine> found = engines(fleet, service, domain, silent, now);
+    // The planner assigns the first layers of an empty domain.
+    const bool empty = std::all_of(found.begin(), found.end(),
                                    [](const Engine &each) { return each.layers.length() == 0; });
-    LayerRange gap = firstGap(all, layers, 0);
+    LayerRange gap = firstGap(found, layers, 0);
     if (empty || gap.length() == 0) {
         m_gapSince.erase(service.name);
-        for (const Engine &each : all)
+        for (const Engine &each : found)
             m_emptySince.erase(each.endpoint->id);
         return orders;
     }
-    delayEmptyEngines(all, now);
-    const auto [since, fresh] = m_gapSince.try_emplace(service.name, now);
-    if (now - since->second < m_settings.grace)
+    delayEmptyEngines(found, now);
+    const auto [since, inserted] = m_gapSince.try_emplace(service.name, now);
+    if (now - since->second < m_settings.gapDelay)
         return orders;
-    for (; gap.length() > 0; gap = firstGap(all, layers, gap.end))
-        for (LayerOrder &order : close(all, gap, layers))
+    for (; gap.length() > 0; gap = firstGap(found, layers, gap.end))
+        for (LayerOrder &order : closeGap(found, gap, layers))
             orders.push_back(std::move(order));
     return orders;
 }
--- a/src/libbalsamloft/gapfiller_test.cpp
+++ b/src/libbalsamloft/gapfiller_test.cpp
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-/// One domain whose engines carry out what they are told.
+/// A domain with engines that hold up to 94 % of their memory in layers.
 struct Domain
 {
     explicit Domain(std::uint32_t layers)
@@ -56,7 +56,7 @@
                     each.layers = order.layers;
     }
 
-    std::uint32_t most() const
+    std::uint32_t maxLayers() const
     {
         const AcceleratorKind *kind = service.model->kind("fast");
         return static_cast<std::uint32_t>(kind->memoryMegabytes * 0.94
@@ -71,12 +71,12 @@
 
 } // namespace
 
-// The only holder of two layers dies. Callers in the domain find no path, until
-// its neighbours have loaded one more layer each; nobody gives anything up.
-TEST_CASE("neighbours grow over the layers of an engine that died")
+// The only holder of two layers crashes, and the domain has no complete path until both
+// neighbours have loaded one more layer. No engine releases layers.
+TEST_CASE("neighbours load the layers of an engine that is silent or removed")
 {
     Domain domain(8);
-    REQUIRE(domain.most() >= 4);
+    REQUIRE(domain.maxLayers() >= 4);
     domain.add("a", {0, 3});
     domain.add("b", {3, 5});
     domain.add("c", {5, 8});
@@ -100,7 +100,7 @@
     CHECK(domain.fill(filler, milliseconds(500)).empty());
 }
 
-TEST_CASE("a gap that has just appeared is left alone")
+TEST_CASE("a gap gets no orders before its delay is over")
 {
     Domain domain(8);
     domain.add("a", {0, 4});
@@ -110,27 +110,28 @@
     CHECK_FALSE(domain.fill(filler, milliseconds(150)).empty());
 }
 
-// No neighbour has the memory. An engine that was just born again, empty, takes
-// the layers, when whoever holds the lease has not given it any by then.
-TEST_CASE("an empty engine takes what neighbours cannot, after a while")
+// The neighbours lack the memory. A restarted, empty engine loads the layers if the lease
+// holder has not assigned any to it within the delay.
+TEST_CASE("an empty engine loads a gap that its neighbours have no memory for, after a delay")
 {
     Domain domain(96);
-    const std::uint32_t most = domain.most();
-    REQUIRE(most * 2 + 4 < 96);
-    domain.add("a", {0, most});
-    domain.add("c", {most + 4, 2 * most + 4});
-    domain.add("d", {2 * most + 4, 96});
+    const std::uint32_t maxLayers = domain.maxLayers();
+    REQUIRE(maxLayers * 2 + 4 < 96);
+    domain.add("a", {0, maxLayers});
+    domain.add("c", {maxLayers + 4, 2 * maxLayers + 4});
+    domain.add("d", {2 * maxLayers + 4, 96});
     domain.add("e", {});
     GapFiller filler;
     CHECK(domain.fill(filler, milliseconds(500)).empty());
     const auto orders = domain.fill(filler, milliseconds(1500));
     REQUIRE(orders.size() == 1);
     CHECK(orders.front().endpoint == "e");
-    CHECK(orders.front().layers.begin <= most);
-    CHECK(orders.front().layers.end >= most + 4);
+    CHECK(orders.front().layers.begin <= maxLayers);
+    CHECK(orders.front().layers.end >= maxLayers + 4);
 }
 
-TEST_CASE("an engine that refused is asked again later, one that may act is not")
+TEST_CASE(
+    "an engine that refused gets an order after the backoff, one with a pending order gets none")
 {
     Domain domain(8);
     domain.add("a", {0, 4});
@@ -145,10 +146,10 @@
     CHECK_FALSE(domain.fill(filler, milliseconds(1000)).empty());
 }
 
-// Two instances fill the same gaps at once, each from its own, older view, and
-// their orders are carried out in any order, some twice. No engine may be told to
-// hold more than its memory, none may lose a layer that it held.
-TEST_CASE("two that fill the same gaps at once exceed no memory and drop no layer")
+// Two instances fill the same gaps at the same time, each without the other's orders. No
+// order may exceed an engine's memory or release a layer, in whichever sequence the orders
+// are carried out.
+TEST_CASE("orders of two instances for the same gaps exceed no memory and release no layer")
 {
     std::mt19937_64 random(20261203);
     for (int round = 0; round < 2000; ++round) {
@@ -161,14 +162,14 @@
             domain.add("e" + std::to_string(i), random() % 4 == 0 ? LayerRange {} : range);
             next = range.end;
         }
-        GapFiller one;
-        GapFiller other;
-        std::vector<LayerOrder> orders = domain.fill(one, milliseconds(2000));
-        for (const LayerOrder &order : domain.fill(other, milliseconds(2000)))
+        GapFiller first;
+        GapFiller second;
+        std::vector<LayerOrder> orders = domain.fill(first, milliseconds(2000));
+        for (const LayerOrder &order : domain.fill(second, milliseconds(2000)))
             orders.push_back(order);
         std::shuffle(orders.begin(), orders.end(), random);
         for (const LayerOrder &order : orders) {
-            REQUIRE(order.layers.end - order.layers.begin <= domain.most());
+            REQUIRE(order.layers.end - order.layers.begin <= domain.maxLayers());
             const FleetEndpoint *engine = domain.fleet.find(order.endpoint);
             if (engine->layers.end == engine->layers.begin)
                 continue;
@@ -178,10 +179,9 @@
     }
 }
 
-// The holder of the lease moves an engine while the reader of its domain, from a
-// report of a second ago, wants it to grow. Carried out, the addition would drop
-// the layers that were just loaded.
-TEST_CASE("an addition to an engine that was moved meanwhile adds no more")
+// The lease holder moves an engine while the domain reader, based on a report that is a
+// second old, sends it an addition, which would release the layers that were just loaded.
+TEST_CASE("an addition to an engine that was moved since no longer keeps its layers")
 {
     Domain domain(8);
     domain.add("a", {0, 4});
@@ -199,7 +199,7 @@
     }
 }
 
-TEST_CASE("a domain where nothing lies yet waits for its first plan")
+TEST_CASE("a domain of empty engines gets no orders")
 {
     Domain domain(8);
     domain.add("a", {});
@@ -208,7 +208,7 @@
     CHECK(domain.fill(filler, milliseconds(5000)).empty());
 }
 
-TEST_CASE("coverage tells gaps, single holders and the least")
+TEST_CASE("coverage counts gaps, layers held once and the fewest holders")
 {
     Domain domain(8);
     domain.add("a", {0, 3});
@@ -221,29 +221,30 @@
     CHECK(Coverage(domain.fleet, domain.service, "far").gaps() == "0-8");
 }
 
-// Guards against an engine that comes back and is filled up for the sake of a small gap.
-TEST_CASE("an empty engine that takes a gap keeps room for requests")
+// Guards against filling a restarted engine's memory because of a small gap.
+TEST_CASE("an empty engine that fills a gap keeps headroom for requests")
 {
     Domain domain(80);
-    domain.add("below", {0, domain.most()});
-    domain.add("above", {domain.most() + 3, 2 * domain.most() + 3});
-    domain.add("end", {2 * domain.most() + 3, 80});
+    domain.add("below", {0, domain.maxLayers()});
+    domain.add("above", {domain.maxLayers() + 3, 2 * domain.maxLayers() + 3});
+    domain.add("end", {2 * domain.maxLayers() + 3, 80});
     domain.add("back", {});
     GapFiller filler;
     const auto orders = domain.fill(filler, std::chrono::seconds(2));
     REQUIRE(orders.size() == 1);
     CHECK(orders[0].endpoint == "back");
     CHECK(orders[0].layers.length() >= 3);
-    CHECK(orders[0].layers.length() <= 0.7 * domain.most());
+    CHECK(orders[0].layers.length() <= 0.7 * domain.maxLayers());
 }
 
-// Guards against two who give an engine that came back layers in the same moment.
-TEST_CASE("an engine that comes back during a gap is left to the holder of the lease first")
+// Guards against orders of the domain reader and the lease holder to the same restarted
+// engine.
+TEST_CASE("an engine that restarts during a gap gets no order before its delay is over")
 {
     Domain domain(80);
-    domain.add("below", {0, domain.most()});
-    domain.add("above", {domain.most() + 3, 2 * domain.most() + 3});
-    domain.add("end", {2 * domain.most() + 3, 80});
+    domain.add("below", {0, domain.maxLayers()});
+    domain.add("above", {domain.maxLayers() + 3, 2 * domain.maxLayers() + 3});
+    domain.add("end", {2 * domain.maxLayers() + 3, 80});
     GapFiller filler;
     REQUIRE(domain.fill(filler, std::chrono::seconds(3)).empty());
     domain.add("back", {});
--- a/src/libbalsamloft/layerorders.cpp
+++ b/src/libbalsamloft/layerorders.cpp
@@ -7,8 +7,8 @@
     return {endpoint.id, endpoint.name, endpoint.address, layers, std::string(reason)};
 }
 
-PendingOrders::PendingOrders(Duration life, Duration refusalBackoff)
-    : m_life(life)
+PendingOrders::PendingOrders(Duration lifetime, Duration refusalBackoff)
+    : m_lifetime(lifetime)
     , m_refusalBackoff(refusalBackoff)
 {
 }
@@ -31,7 +31,7 @@
         const FleetEndpoint *endpoint = fleet.find(each.first);
         const Pending &pending = each.second;
         return !endpoint || (!endpoint->busy && endpoint->layers == pending.layers)
-               || now - pending.since >= (pending.orderRefused ? m_refusalBackoff : m_life);
+               || now - pending.since >= (pending.refused ? m_refusalBackoff : m_lifetime);
     });
 }
 
@@ -40,7 +40,7 @@
     const auto pending = m_pending.find(endpoint.id);
     if (pending == m_pending.end())
         return {endpoint.layers, !endpoint.busy};
-    return {pending->second.orderRefused ? endpoint.layers : pending->second.layers, false};
+    return {pending->second.refused ? endpoint.layers : pending->second.layers, false};
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -11,21 +11,22 @@
 
 namespace {
 
-/// Cost of a layer that nobody holds, and of one that one engine holds.
-constexpr double GapCost = 1000;
-constexpr double SingleCost = 6;
-/// Cost of a layer whose holders have room for nothing; falls with their room.
-constexpr double FullCost = 100;
-/// Requests at once that halve that cost.
-constexpr double FullHalved = 8;
-/// Cost of loading one layer: time, and a share of the weight store.
-constexpr double LoadCost = 0.4;
-/// Engine room to fall back on when a domain cannot hold the model otherwise.
-constexpr double BareRoom = 0.02;
-/// A slower engine keeps each request longer, so its room serves fewer.
-constexpr double ReferencePace = 6;
-constexpr int MostMoves = 12;
-/// How long an engine that refused an order is told nothing.
+constexpr double GapCost = 1000; ///< of a layer without a holder
+constexpr double SingleHolderCost = 6; ///< of a layer with one holder
+/// Cost of a layer whose holders have no KV capacity; falls as their capacity grows.
+constexpr double NoCapacityCost = 100;
+/// Concurrent requests at which that cost is halved.
+constexpr double HalfCostRequests = 8;
+/// Cost of loading one layer: time, and load on the weight store.
+constexpr double LayerLoadCost = 0.4;
+/// Share of each engine's memory kept for requests if the domain can't hold the model with
+/// more.
+constexpr double FallbackHeadroom = 0.02;
+/// Kinds with a larger step factor serve fewer requests with the same KV capacity, because
+/// each request stays longer.
+constexpr double ReferenceStepFactor = 6;
+constexpr int MaxMoves = 12;
+/// How long an engine that refused an order gets no other one.
 constexpr Duration RefusalBackoff {1'000'000};
 
 std::uint32_t overlap(LayerRange left, LayerRange right)
@@ -43,9 +44,9 @@
 {
 }
 
-std::uint32_t LayerPlanner::Engine::most(const LayeredModel &model, double room) const
+std::uint32_t LayerPlanner::Engine::maxLayers(const LayeredModel &model, double headroom) const
 {
-    return model.maxLayers(*kind, room);
+    return model.maxLayers(*kind, headroom);
 }
 
 std::vector<LayerPlanner::Engine> LayerPlanner::engines(const FleetSnapshot &fleet,
@@ -58,8 +59,8 @@
         const AcceleratorKind *kind = service.model->kind(each.kind);
         if (each.service != service.name || each.draining || !kind || replaced.contains(each.id))
             continue;
-        const auto [layers, free] = m_orders.holding(each);
-        found.push_back({&each, kind, layers, free});
+        const auto [layers, available] = m_orders.holding(each);
+        found.push_back({&each, kind, layers, available});
     }
     return found;
 }
@@ -78,7 +79,7 @@
     for (auto &[name, group] : domains) {
         std::uint32_t layers = 0;
         for (const Engine &each : group.engines)
-            layers += each.most(*service.model, BareRoom);
+            layers += each.maxLayers(*service.model, FallbackHeadroom);
         if (layers >= service.model->layers)
             groups.push_back(std::move(group));
         else
@@ -89,61 +90,62 @@
     return groups;
 }
 
-std::vector<std::uint32_t> LayerPlanner::copies(const Group &group, const LayeredModel &model)
+std::vector<std::uint32_t> LayerPlanner::holderCounts(const Group &group, const LayeredModel &model)
 {
-    std::vector<std::uint32_t> copies(model.layers, 0);
+    std::vector<std::uint32_t> holderCounts(model.layers, 0);
     for (const Engine &each : group.engines)
-        addHolder(each.layers, copies);
-    return copies;
+        addHolder(each.layers, holderCounts);
+    return holderCounts;
 }
 
-/// What the layers of a group cost as they lie, kept as engines are put and taken away: of
-/// a thousand engines each is tried at many places, and one place changes few layers.
+/// Cost of a group's current layer assignment. Updated incrementally as engines are added and
+/// removed, because each of up to a thousand engines is tried with many ranges, and each range
+/// changes few layers.
 class LayerPlanner::Costs
 {
 public:
     Costs(const Group &group, const LayeredModel &model)
         : m_model(model)
-        , m_copies(model.layers, 0)
-        , m_streams(model.layers, 0)
+        , m_holders(model.layers, 0)
+        , m_requests(model.layers, 0)
     {
         for (const Engine &each : group.engines)
-            put(each, each.layers);
+            add(each, each.layers);
     }
 
-    void put(const Engine &engine, LayerRange range) { change(engine, range, 1); }
-    void take(const Engine &engine, LayerRange range) { change(engine, range, -1); }
+    void add(const Engine &engine, LayerRange range) { change(engine, range, 1); }
+    void remove(const Engine &engine, LayerRange range) { change(engine, range, -1); }
 
-    double all() const
+    double total() const
     {
         double cost = 0;
         for (std::uint32_t layer = 0; layer < m_model.layers; ++layer)
-            cost += layerCost(m_copies[layer], m_streams[layer]);
+            cost += layerCost(m_holders[layer], m_requests[layer]);
         return cost;
     }
 
-    /// The same once \a engine holds \a range too.
-    double with(const Engine &engine, LayerRange range)
+    /// The total cost if \a engine holds \a range too.
+    double totalWith(const Engine &engine, LayerRange range)
     {
-        put(engine, range);
-        const double cost = all();
-        take(engine, range);
+        add(engine, range);
+        const double cost = total();
+        remove(engine, range);
         return cost;
     }
 
-    /// The range within \a bounds, of \a most layers at most, that saves most when \a engine
-    /// holds it too.
-    LayerRange best(const Engine &engine, std::uint32_t most, LayerRange bounds) const
+    /// The range within \a bounds, of at most \a maxLayers layers, that lowers the cost most if
+    /// \a engine holds it too.
+    LayerRange bestRange(const Engine &engine, std::uint32_t maxLayers, LayerRange bounds) const
     {
         LayerRange best;
         double bestChange = 0;
-        std::vector<double> changes(m_model.layers + 1, 0); // of the layers before each
-        for (std::uint32_t count = 1; count <= most; ++count) {
-            const double streams = fits(engine, count);
+        std::vector<double> changes(m_model.layers + 1, 0); // sums over the layers before each
+        for (std::uint32_t count = 1; count <= maxLayers; ++count) {
+            const double requests = requestCapacity(engine, count);
             for (std::uint32_t layer = 0; layer < m_model.layers; ++layer)
                 changes[layer + 1] = changes[layer]
-                                     + layerCost(m_copies[layer] + 1, m_streams[layer] + streams)
-                                     - layerCost(m_copies[layer], m_streams[layer]);
+                                     + layerCost(m_holders[layer] + 1, m_requests[layer] + requests)
+                                     - layerCost(m_holders[layer], m_requests[layer]);
             for (std::uint32_t begin = bounds.begin; begin + count <= bounds.end; ++begin) {
                 const double change = changes[begin + count] - changes[begin];
                 if (best.length() > 0 && change >= bestChange)
@@ -155,22 +157,22 @@
         return best;
     }
 
-    const std::vector<std::int64_t> &copies() const { return m_copies; }
+    const std::vector<std::int64_t> &holders() const { return m_holders; }
 
 private:
-    static double layerCost(std::int64_t copies, double streams)
+    static double layerCost(std::int64_t holders, double requests)
     {
-        const double few = copies == 0 ? GapCost : copies == 1 ? SingleCost : 0;
-        return few + FullCost / (1 + streams / FullHalved);
+        const double coverageCost = holders == 0 ? GapCost : holders == 1 ? SingleHolderCost : 0;
+        return coverageCost + NoCapacityCost / (1 + requests / HalfCostRequests);
     }
 
-    /// Usual requests that \a engine has room for when it holds \a count layers.
-    double fits(const Engine &engine, std::uint32_t count) const
+    /// Concurrent requests of typical size that \a engine can serve with \a count layers.
+    double requestCapacity(const Engine &engine, std::uint32_t count) const
     {
-        const double usual =
+        const double requestTokens =
             std::max(1U, m_model.typicalPromptTokens + m_model.typicalAnswerTokens);
-        return m_model.room(*engine.kind, count) / count / usual
-               * std::min(1.0, ReferencePace / engine.kind->pace);
+        return m_model.room(*engine.kind, count) / count / requestTokens
+               * std::min(1.0, ReferenceStepFactor / engine.kind->pace);
     }
 
     void change(const Engine &engine, LayerRange range, int sign)
@@ -178,40 +180,40 @@
         const std::uint32_t end = std::min(range.end, m_model.layers);
         if (end <= range.begin)
             return;
-        const double streams = fits(engine, range.length());
+        const double requests = requestCapacity(engine, range.length());
         for (std::uint32_t layer = range.begin; layer < end; ++layer) {
-            m_copies[layer] += sign;
-            m_streams[layer] = m_copies[layer] == 0 ? 0 : m_streams[layer] + sign * streams;
+            m_holders[layer] += sign;
+            m_requests[layer] = m_holders[layer] == 0 ? 0 : m_requests[layer] + sign * requests;
         }
     }
 
     const LayeredModel &m_model;
-    std::vector<std::int64_t> m_copies;
-    std::vector<double> m_streams; ///< usual requests that their holders have room for
+    std::vector<std::int64_t> m_holders; ///< by layer
+    std::vector<double> m_requests; ///< by layer: typical requests that its holders can serve
 };
 
 namespace {
 
-/// Splits \a layers in proportion to \a sizes, none above its \a most; empty
-/// when they do not fit.
+/// Splits \a layers in proportion to \a sizes, each part at most as large as its element of
+/// \a maxLayers. Empty if the layers don't fit.
 std::vector<std::uint32_t> split(std::uint32_t layers, const std::vector<double> &sizes,
-                                 const std::vector<std::uint32_t> &most)
+                                 const std::vector<std::uint32_t> &maxLayers)
 {
     const double total = std::accumulate(sizes.begin(), sizes.end(), 0.0);
-    if (std::accumulate(most.begin(), most.end(), 0U) < layers || total <= 0)
+    if (std::accumulate(maxLayers.begin(), maxLayers.end(), 0U) < layers || total <= 0)
         return {};
     std::vector<std::uint32_t> counts(sizes.size());
-    std::uint32_t given = 0;
+    std::uint32_t assigned = 0;
     for (std::size_t i = 0; i < sizes.size(); ++i) {
-        counts[i] =
-            std::min(most[i], static_cast<std::uint32_t>(std::floor(layers * sizes[i] / total)));
-        given += counts[i];
+        counts[i] = std::min(maxLayers[i],
+                             static_cast<std::uint32_t>(std::floor(layers * sizes[i] / total)));
+        assigned += counts[i];
     }
-    for (; given < layers; ++given) {
-        // The next layer goes where the room for requests stays largest.
+    for (; assigned < layers; ++assigned) {
+        // The next layer goes where the share per unit of memory stays smallest.
         std::size_t best = sizes.size();
         for (std::size_t i = 0; i < sizes.size(); ++i)
-            if (counts[i] < most[i]
+            if (counts[i] < maxLayers[i]
                 && (best == sizes.size()
                     || (counts[i] + 1) / sizes[i] < (counts[best] + 1) / sizes[best]))
                 best = i;
@@ -222,135 +224,141 @@
 
 } // namespace
 
-std::vector<LayerOrder> LayerPlanner::tile(Group &group, const LayeredModel &model,
-                                           const LayerPlannerSettings &settings,
-                                           std::string_view reason)
+std::vector<LayerOrder> LayerPlanner::planFromScratch(Group &group, const LayeredModel &model,
+                                                      const LayerPlannerSettings &settings,
+                                                      std::string_view reason)
 {
     std::vector<Engine *> engines;
     engines.reserve(group.engines.size());
     for (Engine &each : group.engines)
         engines.push_back(&each);
-    // Fast engines together: a path is as slow as the sum of its parts, and the
-    // fast path then carries most requests.
+    // Engines of similar speed form a replica. The time of a path is the sum of its parts, so
+    // this gives fast paths, which then carry most requests.
     std::stable_sort(engines.begin(), engines.end(), [](const Engine *left, const Engine *right) {
         return std::tie(left->kind->pace, left->layers.begin, left->endpoint->id)
                < std::tie(right->kind->pace, right->layers.begin, right->endpoint->id);
     });
-    std::vector<std::vector<Engine *>> covers =
+    std::vector<std::vector<Engine *>> replicas =
         splitIntoReplicas(engines, model.layers * model.layerMegabytes, settings);
     std::vector<LayerOrder> orders;
-    for (const std::vector<Engine *> &cover : covers)
-        assignLayers(cover, model, covers.size() == 1 ? BareRoom : settings.minEngineHeadroom,
-                     reason, orders);
+    for (const std::vector<Engine *> &replica : replicas)
+        assignLayers(replica, model,
+                     replicas.size() == 1 ? FallbackHeadroom : settings.minEngineHeadroom, reason,
+                     orders);
     return orders;
 }
 
-/// Engines, fastest first, cut into covers that keep room for requests. What is
-/// left over and cannot hold the model stays out, to double single layers.
+/// Splits \a engines, sorted by speed, into replicas with headroom for requests. Remaining
+/// engines that can't hold the model form no replica; they get layers later, as additional
+/// holders.
 std::vector<std::vector<LayerPlanner::Engine *>>
-LayerPlanner::splitIntoReplicas(const std::vector<Engine *> &engines, double whole,
+LayerPlanner::splitIntoReplicas(const std::vector<Engine *> &engines, double modelMegabytes,
                                 const LayerPlannerSettings &settings)
 {
-    std::vector<std::vector<Engine *>> covers;
-    std::vector<Engine *> cover;
+    std::vector<std::vector<Engine *>> replicas;
+    std::vector<Engine *> replica;
     double held = 0;
     for (Engine *each : engines) {
-        cover.push_back(each);
+        replica.push_back(each);
         held += each->kind->memoryMegabytes;
-        if (held < whole * (1 + settings.replicaHeadroom))
+        if (held < modelMegabytes * (1 + settings.replicaHeadroom))
             continue;
-        covers.push_back(std::move(cover));
-        cover.clear();
+        replicas.push_back(std::move(replica));
+        replica.clear();
         held = 0;
     }
-    if (!cover.empty() && (covers.empty() || held >= whole * (1 + settings.minReplicaHeadroom)))
-        covers.push_back(std::move(cover));
-    return covers;
+    if (!replica.empty()
+        && (replicas.empty() || held >= modelMegabytes * (1 + settings.minReplicaHeadroom)))
+        replicas.push_back(std::move(replica));
+    return replicas;
 }
 
-void LayerPlanner::assignLayers(const std::vector<Engine *> &cover, const LayeredModel &model,
-                                double room, std::string_view reason,
+void LayerPlanner::assignLayers(const std::vector<Engine *> &replica, const LayeredModel &model,
+                                double headroom, std::string_view reason,
                                 std::vector<LayerOrder> &orders)
 {
     std::vector<double> sizes;
-    std::vector<std::uint32_t> most;
-    for (const Engine *each : cover) {
+    std::vector<std::uint32_t> maxLayers;
+    for (const Engine *each : replica) {
         sizes.push_back(each->kind->memoryMegabytes);
-        most.push_back(each->most(model, room));
+        maxLayers.push_back(each->maxLayers(model, headroom));
     }
-    const std::vector<std::uint32_t> counts = split(model.layers, sizes, most);
+    const std::vector<std::uint32_t> counts = split(model.layers, sizes, maxLayers);
     std::uint32_t next = 0;
     for (std::size_t i = 0; i < counts.size(); ++i) {
         const LayerRange range {next, next + counts[i]};
         next = range.end;
-        cover[i]->layers = range;
-        if (counts[i] > 0 && cover[i]->endpoint->layers != range && cover[i]->movable)
-            orders.push_back(layerOrder(*cover[i]->endpoint, range, reason));
+        replica[i]->layers = range;
+        if (counts[i] > 0 && replica[i]->endpoint->layers != range && replica[i]->movable)
+            orders.push_back(layerOrder(*replica[i]->endpoint, range, reason));
     }
 }
 
-void LayerPlanner::placeFree(Group &group, const LayeredModel &model,
-                             std::vector<LayerOrder> &orders)
+void LayerPlanner::placeEmptyEngines(Group &group, const LayeredModel &model,
+                                     std::vector<LayerOrder> &orders)
 {
-    std::vector<Engine *> free;
+    std::vector<Engine *> emptyEngines;
     for (Engine &each : group.engines)
         if (each.movable && each.layers.length() == 0)
-            free.push_back(&each);
-    std::sort(free.begin(), free.end(), [](const Engine *left, const Engine *right) {
-        return std::tie(right->kind->memoryMegabytes, left->endpoint->id)
-               < std::tie(left->kind->memoryMegabytes, right->endpoint->id);
-    });
+            emptyEngines.push_back(&each);
+    std::sort(emptyEngines.begin(), emptyEngines.end(),
+              [](const Engine *left, const Engine *right) {
+                  return std::tie(right->kind->memoryMegabytes, left->endpoint->id)
+                         < std::tie(left->kind->memoryMegabytes, right->endpoint->id);
+              });
     Costs costs(group, model);
-    for (Engine *each : free) {
-        const std::uint32_t most = each->most(model, m_settings.emptyEngineHeadroom);
-        if (most == 0)
+    for (Engine *each : emptyEngines) {
+        const std::uint32_t maxLayers = each->maxLayers(model, m_settings.emptyEngineHeadroom);
+        if (maxLayers == 0)
             continue;
-        const LayerRange best = costs.best(*each, most, {0, model.layers});
+        const LayerRange best = costs.bestRange(*each, maxLayers, {0, model.layers});
         each->layers = best;
-        costs.put(*each, best);
-        orders.push_back(layerOrder(*each->endpoint, best, "an engine that holds nothing"));
+        costs.add(*each, best);
+        orders.push_back(layerOrder(*each->endpoint, best, "the engine is empty"));
     }
 }
 
-bool LayerPlanner::bestMove(Group &group, const LayeredModel &model, double minGain,
-                            std::vector<LayerOrder> &orders, std::string_view reason)
+bool LayerPlanner::makeBestMove(Group &group, const LayeredModel &model, double minGain,
+                                std::vector<LayerOrder> &orders, std::string_view reason)
 {
     Costs costs(group, model);
     Engine *mover = nullptr;
     LayerRange target;
-    double bestCost = costs.all() - minGain;
+    double bestCost = costs.total() - minGain;
     for (Engine &each : group.engines) {
         if (!each.movable)
             continue;
         const LayerRange held = each.layers;
-        costs.take(each, held);
-        const std::vector<std::int64_t> &others = costs.copies();
-        const std::uint32_t most = each.most(model, m_settings.minEngineHeadroom);
-        const std::uint32_t usual = each.most(model, m_settings.emptyEngineHeadroom);
+        costs.remove(each, held);
+        const std::vector<std::int64_t> &otherHolders = costs.holders();
+        const std::uint32_t maxLayers = each.maxLayers(model, m_settings.minEngineHeadroom);
+        const std::uint32_t preferredLayers = each.maxLayers(model, m_settings.emptyEngineHeadroom);
         const auto consider = [&](LayerRange range) {
             for (std::uint32_t layer = held.begin; layer < held.end; ++layer)
-                if (others[layer] == 0 && (layer < range.begin || layer >= range.end))
+                if (otherHolders[layer] == 0 && (layer < range.begin || layer >= range.end))
                     return;
-            const double loads = range.length() - overlap(range, held);
-            const double now = costs.with(each, range) + LoadCost * loads;
-            if (now >= bestCost)
+            const double layersToLoad = range.length() - overlap(range, held);
+            const double cost = costs.totalWith(each, range) + LayerLoadCost * layersToLoad;
+            if (cost >= bestCost)
                 return;
-            bestCost = now;
+            bestCost = cost;
             mover = &each;
             target = range;
         };
-        for (std::uint32_t begin = 0; usual > 0 && begin + usual <= model.layers; ++begin)
-            consider({begin, begin + usual});
-        // Grown over a gap that others have closed since, it has little room for requests.
+        for (std::uint32_t begin = 0;
+             preferredLayers > 0 && begin + preferredLayers <= model.layers; ++begin)
+            consider({begin, begin + preferredLayers});
+        // An engine that was extended over a gap has little KV capacity left. If other engines
+        // hold those layers by now, it may release them.
         if (held.length() > 1)
-            consider(costs.best(each, held.length() - 1, held));
-        for (std::uint32_t more = 1; held.length() + more <= most; ++more) {
-            if (held.begin >= more)
-                consider({held.begin - more, held.end});
-            if (held.end + more <= model.layers)
-                consider({held.begin, held.end + more});
+            consider(costs.bestRange(each, held.length() - 1, held));
+        for (std::uint32_t extra = 1; held.length() + extra <= maxLayers; ++extra) {
+            if (held.begin >= extra)
+                consider({held.begin - extra, held.end});
+            if (held.end + extra <= model.layers)
+                consider({held.begin, held.end + extra});
         }
-        costs.put(each, held);
+        costs.add(each, held);
     }
     if (!mover)
         return false;
@@ -365,57 +373,60 @@
     std::vector<GapFiller::Engine> engines;
     for (const Engine &each : group.engines)
         engines.push_back({each.endpoint, each.layers,
-                           each.most(model, m_settings.minEngineHeadroom), each.movable});
+                           each.maxLayers(model, m_settings.minEngineHeadroom), each.movable});
     return GapFiller::canCloseAllGaps(std::move(engines), model.layers);
 }
 
-/// Whether an engine that holds nothing carries out an order that was not given here.
-/// What it is to hold is not told; moved over its gap as well, other engines give up
-/// layers that are needed.
-bool LayerPlanner::filledByOthers(const Group &group, Watch &watch, Time now) const
+/// Whether an empty engine carries out an order that another instance sent. Its future layers
+/// are unknown here. If other engines were moved over the same gap, they would release layers
+/// that are needed.
+bool LayerPlanner::filledByOthers(const Group &group, GroupHistory &history, Time now) const
 {
-    const bool fill =
+    const bool filling =
         std::any_of(group.engines.begin(), group.engines.end(),
                     [](const Engine &each) { return !each.movable && each.layers.length() == 0; });
-    if (!fill)
-        watch.filledSince.reset();
-    else if (!watch.filledSince)
-        watch.filledSince = now;
-    return fill && now - *watch.filledSince < m_settings.replanAfter;
+    if (!filling)
+        history.filledSince.reset();
+    else if (!history.filledSince)
+        history.filledSince = now;
+    return filling && now - *history.filledSince < m_settings.replanAfter;
 }
 
-void LayerPlanner::mend(Group &group, const LayeredModel &model, Watch &watch, Time now,
-                        std::vector<LayerOrder> &orders)
+void LayerPlanner::repair(Group &group, const LayeredModel &model, GroupHistory &history, Time now,
+                          std::vector<LayerOrder> &orders)
 {
-    const auto least = [&] {
-        const std::vector<std::uint32_t> counts = copies(group, model);
+    const auto minHolders = [&] {
+        const std::vector<std::uint32_t> counts = holderCounts(group, model);
         return counts.empty() ? 0 : *std::min_element(counts.begin(), counts.end());
     };
-    const bool filled = filledByOthers(group, watch, now);
-    if (least() > 0) {
-        watch.gapSince.reset();
+    const bool filled = filledByOthers(group, history, now);
+    if (minHolders() > 0) {
+        history.gapSince.reset();
     } else if (filled) {
         return;
-    } else if (!watch.gapSince) {
-        watch.gapSince = now;
-    } else if (now - *watch.gapSince >= (additionsCanClose(group, model) ? m_settings.additionDelay
-                                                                         : m_settings.gapDelay)) {
-        for (int moves = 0; moves < MostMoves && least() == 0; ++moves)
-            if (!bestMove(group, model, GapCost / 2, orders, "nobody holds these layers"))
+    } else if (!history.gapSince) {
+        history.gapSince = now;
+    } else if (now - *history.gapSince >= (additionsCanClose(group, model)
+                                               ? m_settings.additionDelay
+                                               : m_settings.gapDelay)) {
+        for (int moves = 0; moves < MaxMoves && minHolders() == 0; ++moves)
+            if (!makeBestMove(group, model, GapCost / 2, orders, "layers without a holder"))
                 break;
-        if (least() == 0 && now - *watch.gapSince >= m_settings.replanAfter) {
-            const bool waits = std::any_of(group.engines.begin(), group.engines.end(),
-                                           [](const Engine &each) { return !each.movable; });
-            if (!waits)
-                orders = tile(group, model, m_settings, "the model no longer fits as it lies");
+        if (minHolders() == 0 && now - *history.gapSince >= m_settings.replanAfter) {
+            const bool waiting = std::any_of(group.engines.begin(), group.engines.end(),
+                                             [](const Engine &each) { return !each.movable; });
+            if (!waiting)
+                orders =
+                    planFromScratch(group, model, m_settings, "moves did not close a coverage gap");
         }
     }
-    if (watch.movedAt == Time {})
-        watch.movedAt = now;
-    if (now - watch.movedAt < m_settings.moveInterval || least() == 0)
+    if (history.lastMoveAt == Time {})
+        history.lastMoveAt = now;
+    if (now - history.lastMoveAt < m_settings.moveInterval || minHolders() == 0)
         return;
-    watch.movedAt = now;
-    bestMove(group, model, m_settings.minGain, orders, "few copies or little room here");
+    history.lastMoveAt = now;
+    makeBestMove(group, model, m_settings.minGain, orders,
+                 "layers with few holders or little KV capacity");
 }
 
 std::vector<LayerOrder> LayerPlanner::plan(const FleetSnapshot &fleet, const RoutedService &service,
@@ -425,23 +436,24 @@
     if (!service.model || service.model->layers == 0)
         return orders;
     for (Group &group : groups(fleet, service, now)) {
-        Watch &watch = m_watches[service.name + "/" + group.name];
-        if (watch.engines != group.engines.size()) {
-            watch.engines = group.engines.size();
-            watch.changedAt = now;
+        GroupHistory &history = m_histories[service.name + "/" + group.name];
+        if (history.engines != group.engines.size()) {
+            history.engines = group.engines.size();
+            history.changedAt = now;
         }
         const bool empty =
             std::all_of(group.engines.begin(), group.engines.end(),
                         [](const Engine &each) { return each.layers.length() == 0; });
         std::vector<LayerOrder> wanted;
         if (empty) {
-            if (now - watch.changedAt >= m_settings.startupDelay)
-                wanted = tile(group, *service.model, m_settings, "no engine holds anything yet");
+            if (now - history.changedAt >= m_settings.startupDelay)
+                wanted = planFromScratch(group, *service.model, m_settings,
+                                         "no engine holds layers yet");
             if (!wanted.empty())
-                placeFree(group, *service.model, wanted);
+                placeEmptyEngines(group, *service.model, wanted);
         } else {
-            placeFree(group, *service.model, wanted);
-            mend(group, *service.model, watch, now, wanted);
+            placeEmptyEngines(group, *service.model, wanted);
+            repair(group, *service.model, history, now, wanted);
         }
         orders.insert(orders.end(), wanted.begin(), wanted.end());
     }
--- a/src/libbalsamloft/layerplanner_test.cpp
+++ b/src/libbalsamloft/layerplanner_test.cpp
@@ -14,10 +14,10 @@
 
 using std::chrono::milliseconds;
 
-/// Engines that carry orders out after a while, and a planner.
-struct Plan
+/// A planner and engines that carry out its orders with a delay.
+struct PlannerSimulation
 {
-    explicit Plan(LayeredModel model)
+    explicit PlannerSimulation(LayeredModel model)
         : service {"model", 0, std::move(model)}
     {
     }
@@ -33,7 +33,7 @@
         fleet.endpoints.push_back(std::move(each));
     }
 
-    /// Lets the planner act for a while; orders take half a second each.
+    /// Runs the planner for \a duration. Engines carry out each order within half a second.
     void run(Duration duration)
     {
         const Time until = now + duration;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// No order may ask for more than the engine's memory: it would crash.
+    /// Requires that the ordered layers fit the engine's memory: otherwise it would crash.
     void check(const LayerOrder &order)
     {
         const FleetEndpoint *each = fleet.find(order.endpoint);
@@ -66,37 +66,37 @@
         REQUIRE((order.layers.end - order.layers.begin) * service.model->layerMegabytes <= size);
     }
 
-    /// Fewest engines that hold a layer, in \a domain or anywhere.
-    std::size_t least(std::string_view domain = {}) const
+    /// Holders of the layer with the fewest of them, in \a domain or in all domains.
+    std::size_t minHolders(std::string_view domain = {}) const
     {
-        std::size_t least = 1000;
+        std::size_t minHolders = 1000;
         for (std::uint32_t layer = 0; layer < service.model->layers; ++layer)
-            least = std::min<std::size_t>(
-                least,
+            minHolders = std::min<std::size_t>(
+                minHolders,
                 std::count_if(fleet.endpoints.begin(), fleet.endpoints.end(), [&](auto &each) {
                     return !each.draining && (domain.empty() || each.domain == domain)
                            && each.layers.begin <= layer && layer < each.layers.end;
                 }));
-        return least;
+        return minHolders;
     }
 
-    /// Requests that the layer with the least room has room for.
-    double narrowest() const
+    /// Concurrent requests that the layer with the least KV capacity can serve.
+    double minRequestCapacity() const
     {
         const LayeredModel &model = *service.model;
-        std::vector<double> rooms(model.layers, 0);
+        std::vector<double> capacities(model.layers, 0);
         for (const FleetEndpoint &each : fleet.endpoints) {
             const std::uint32_t held = each.layers.length();
             if (held == 0)
                 continue;
             const double room = model.room(*model.kind(each.kind), held) / held;
             for (std::uint32_t layer = each.layers.begin; layer < each.layers.end; ++layer)
-                rooms[layer] += room / (model.typicalPromptTokens + model.typicalAnswerTokens);
+                capacities[layer] += room / (model.typicalPromptTokens + model.typicalAnswerTokens);
         }
-        return *std::min_element(rooms.begin(), rooms.end());
+        return *std::min_element(capacities.begin(), capacities.end());
     }
 
-    FleetEndpoint &at(const std::string &id)
+    FleetEndpoint &engine(const std::string &id)
     {
         return *std::find_if(fleet.endpoints.begin(), fleet.endpoints.end(),
                              [&](const auto &each) { return each.id == id; });
@@ -110,25 +110,25 @@
     std::size_t orders = 0;
 };
 
-/// A domain of two large engines, which hold most layers, and smaller ones.
-Plan domainOfTwoLarge()
+/// A domain with two large engines, which hold most layers, and smaller ones.
+PlannerSimulation domainWithTwoLarge()
 {
-    Plan plan(todaysFleet().model);
+    PlannerSimulation simulation(todaysFleet().model);
     for (int i = 0; i < 2; ++i) {
-        plan.add("large-" + std::to_string(i), "a", "large");
-        plan.add("middle-" + std::to_string(i), "a", "middle");
+        simulation.add("large-" + std::to_string(i), "a", "large");
+        simulation.add("middle-" + std::to_string(i), "a", "middle");
     }
     for (int i = 0; i < 5; ++i)
-        plan.add("small-" + std::to_string(i), "a", "small");
-    plan.run(std::chrono::seconds(20));
-    return plan;
+        simulation.add("small-" + std::to_string(i), "a", "small");
+    simulation.run(std::chrono::seconds(20));
+    return simulation;
 }
 
 } // namespace
 
-// Deployments that nobody has seen: whatever the cards, domains and layers, the
-// model is held wherever its weights fit, and no engine is given too much.
-TEST_CASE("random fleets hold the model wherever it fits, within memory, and come to rest")
+// Random accelerators, domains and numbers of layers: the model is held wherever its weights
+// fit, and no order exceeds an engine's memory.
+TEST_CASE("random fleets hold the model wherever it fits, within memory, with few orders later on")
 {
     std::mt19937_64 random(20261202);
     for (int round = 0; round < 100; ++round) {
@@ -136,162 +136,165 @@
         model.kinds = {{"x", 20'000.0 + random() % 60'000, 2, 2},
                        {"y", 12'000.0 + random() % 20'000, 6, 3},
                        {"z", 6'000.0 + random() % 12'000, 16, 8}};
-        Plan plan(model);
+        PlannerSimulation simulation(model);
         const auto domains = 2 + random() % 4;
         double memory = 0;
         const auto count = 4 + random() % 40;
         for (std::uint64_t i = 0; i < count; ++i) {
             const AcceleratorKind &kind = model.kinds[random() % 3];
-            plan.add("e" + std::to_string(i), "d" + std::to_string(random() % domains), kind.name);
+            simulation.add("e" + std::to_string(i), "d" + std::to_string(random() % domains),
+                           kind.name);
             memory += std::floor(kind.memoryMegabytes * 0.9 / model.layerMegabytes);
         }
-        plan.run(std::chrono::seconds(40));
+        simulation.run(std::chrono::seconds(40));
         INFO("round " << round << " layers " << model.layers << " memory " << memory);
         if (memory >= model.layers)
-            CHECK(plan.least() >= 1);
-        const std::size_t before = plan.orders;
-        plan.run(std::chrono::seconds(60));
-        CHECK(plan.orders - before <= count / 2);
-        const std::size_t settled = plan.orders;
-        plan.run(std::chrono::seconds(30));
-        CHECK(plan.orders - settled <= 2);
+            CHECK(simulation.minHolders() >= 1);
+        const std::size_t before = simulation.orders;
+        simulation.run(std::chrono::seconds(60));
+        CHECK(simulation.orders - before <= count / 2);
+        const std::size_t ordersAtRest = simulation.orders;
+        simulation.run(std::chrono::seconds(30));
+        CHECK(simulation.orders - ordersAtRest <= 2);
     }
 }
 
-// An engine is lost for good, and with it layers that nobody else holds: other
-// engines take them over, soon.
-TEST_CASE("layers that a lost engine held are held again")
+// Guards against a lasting gap after the loss of an engine that was the only holder of its
+// layers.
+TEST_CASE("the layers of a removed engine get new holders")
 {
-    Plan plan(testModel(80));
+    PlannerSimulation simulation(testModel(80));
     for (int i = 0; i < 2; ++i)
-        plan.add("f" + std::to_string(i), "d", "fast");
+        simulation.add("f" + std::to_string(i), "d", "fast");
     for (int i = 0; i < 5; ++i)
-        plan.add("s" + std::to_string(i), "d", "slow");
-    plan.run(std::chrono::seconds(20));
-    REQUIRE(plan.least() >= 1);
-    plan.fleet.endpoints.erase(plan.fleet.endpoints.begin() + 3);
-    plan.run(std::chrono::seconds(8));
-    CHECK(plan.least() >= 1);
+        simulation.add("s" + std::to_string(i), "d", "slow");
+    simulation.run(std::chrono::seconds(20));
+    REQUIRE(simulation.minHolders() >= 1);
+    simulation.fleet.endpoints.erase(simulation.fleet.endpoints.begin() + 3);
+    simulation.run(std::chrono::seconds(8));
+    CHECK(simulation.minHolders() >= 1);
 }
 
-TEST_CASE("an empty engine in place of a lost one gets what is held least")
+TEST_CASE("an empty engine that replaces a removed one gets the layers without a holder")
 {
-    Plan plan(testModel(30));
-    plan.add("a", "d", "fast");
-    plan.add("b", "d", "fast");
-    plan.add("c", "d", "fast");
-    plan.run(std::chrono::seconds(10));
-    plan.fleet.endpoints.erase(plan.fleet.endpoints.begin());
-    plan.add("new", "d", "fast");
-    plan.run(std::chrono::seconds(3));
-    CHECK(plan.least() >= 1);
-    CHECK(plan.fleet.find("new")->layers.end > 0);
+    PlannerSimulation simulation(testModel(30));
+    simulation.add("a", "d", "fast");
+    simulation.add("b", "d", "fast");
+    simulation.add("c", "d", "fast");
+    simulation.run(std::chrono::seconds(10));
+    simulation.fleet.endpoints.erase(simulation.fleet.endpoints.begin());
+    simulation.add("new", "d", "fast");
+    simulation.run(std::chrono::seconds(3));
+    CHECK(simulation.minHolders() >= 1);
+    CHECK(simulation.fleet.find("new")->layers.end > 0);
 }
 
-// All instances were killed, the engines live. Whoever takes the placement over
-// knows nothing of the plan: it must not move what is well.
-TEST_CASE("a new planner leaves engines that are well as they are")
+// Guards against needless moves when an instance without earlier state takes over the
+// placement, for example after all instances were killed.
+TEST_CASE("a new planner moves no engines of a complete placement")
 {
-    Plan plan(testModel(80));
+    PlannerSimulation simulation(testModel(80));
     for (int i = 0; i < 9; ++i)
-        plan.add("f" + std::to_string(i), i < 5 ? "d" : "e", "fast");
-    plan.run(std::chrono::seconds(30));
-    const std::size_t before = plan.orders;
-    plan.planner = LayerPlanner();
-    plan.run(std::chrono::seconds(20));
-    CHECK(plan.orders == before);
+        simulation.add("f" + std::to_string(i), i < 5 ? "d" : "e", "fast");
+    simulation.run(std::chrono::seconds(30));
+    const std::size_t before = simulation.orders;
+    simulation.planner = LayerPlanner();
+    simulation.run(std::chrono::seconds(20));
+    CHECK(simulation.orders == before);
 }
 
-// Orders had no answer, and one engine is lost meanwhile. The order to the other
-// may be carried out seconds later, so it is told nothing else until it shows
-// what it holds, or the order's life is over; only then it takes more layers.
-TEST_CASE("an engine with an order in doubt is told nothing else")
+// Two orders get no answer, and one of the engines is removed. The other engine may carry out
+// its order seconds later, so it gets more layers only after that order has expired.
+TEST_CASE("an engine with an unanswered order gets no other one until it expires")
 {
-    Plan plan(testModel(36));
-    plan.add("a", "d", "fast");
-    plan.add("b", "d", "fast");
+    PlannerSimulation simulation(testModel(36));
+    simulation.add("a", "d", "fast");
+    simulation.add("b", "d", "fast");
     const auto run = [&](int steps) {
         std::size_t orders = 0;
         for (int i = 0; i < steps; ++i) {
-            plan.now += milliseconds(100);
-            for (const LayerOrder &order : plan.planner.plan(plan.fleet, plan.service, plan.now)) {
-                plan.planner.orderSent(order, plan.now);
+            simulation.now += milliseconds(100);
+            for (const LayerOrder &order :
+                 simulation.planner.plan(simulation.fleet, simulation.service, simulation.now)) {
+                simulation.planner.orderSent(order, simulation.now);
                 orders += 1;
             }
         }
         return orders;
     };
     CHECK(run(30) == 2);
-    plan.fleet.endpoints.pop_back();
+    simulation.fleet.endpoints.pop_back();
     CHECK(run(50) == 0);
     CHECK(run(100) >= 1);
 }
 
-TEST_CASE("an engine that leaves is not counted on")
+TEST_CASE("the layers of a draining engine get another holder")
 {
-    Plan plan(testModel(30));
-    plan.add("a", "d", "fast");
-    plan.add("b", "d", "fast");
-    plan.run(std::chrono::seconds(5));
-    plan.fleet.endpoints[0].draining = true;
-    plan.run(std::chrono::seconds(10));
-    CHECK(plan.least() >= 1);
+    PlannerSimulation simulation(testModel(30));
+    simulation.add("a", "d", "fast");
+    simulation.add("b", "d", "fast");
+    simulation.run(std::chrono::seconds(5));
+    simulation.fleet.endpoints[0].draining = true;
+    simulation.run(std::chrono::seconds(10));
+    CHECK(simulation.minHolders() >= 1);
 }
 
-// Guards against an engine that comes back full of layers, with room for few requests.
-TEST_CASE("a domain has as much room as before once its large engines are back")
+// Guards against assigning so many layers to a restarted engine that it has little KV
+// capacity left.
+TEST_CASE("a domain regains its KV capacity after its large engines restart")
 {
-    Plan plan = domainOfTwoLarge();
-    const double before = plan.narrowest();
+    PlannerSimulation simulation = domainWithTwoLarge();
+    const double before = simulation.minRequestCapacity();
     const int lost = GENERATE(1, 2);
     for (int i = 0; i < lost; ++i) {
-        plan.at("large-" + std::to_string(i)).layers = {};
-        plan.at("large-" + std::to_string(i)).id = "back-" + std::to_string(i);
-        plan.run(milliseconds(600));
+        simulation.engine("large-" + std::to_string(i)).layers = {};
+        simulation.engine("large-" + std::to_string(i)).id = "back-" + std::to_string(i);
+        simulation.run(milliseconds(600));
     }
-    plan.run(std::chrono::seconds(20));
-    CHECK(plan.narrowest() >= 0.9 * before);
+    simulation.run(std::chrono::seconds(20));
+    CHECK(simulation.minRequestCapacity() >= 0.9 * before);
 }
 
-// Guards against neighbours that grew over a gap and keep little room for good.
-TEST_CASE("an engine that grew over a gap gives back what another one holds again")
+// Guards against engines that were extended over a gap and keep little KV capacity for good.
+TEST_CASE("an engine that was extended over a gap releases layers that are held elsewhere")
 {
-    Plan plan = domainOfTwoLarge();
-    const double before = plan.narrowest();
-    const FleetEndpoint lost = plan.at("large-1");
-    const LayerRange held = plan.at("middle-0").layers;
+    PlannerSimulation simulation = domainWithTwoLarge();
+    const double before = simulation.minRequestCapacity();
+    const FleetEndpoint lost = simulation.engine("large-1");
+    const LayerRange held = simulation.engine("middle-0").layers;
     REQUIRE(held.begin == lost.layers.end);
-    plan.at("middle-0").layers.begin -= 6;
-    plan.run(std::chrono::seconds(20));
-    CHECK(plan.at("middle-0").layers == held);
-    CHECK(plan.narrowest() >= 0.9 * before);
+    simulation.engine("middle-0").layers.begin -= 6;
+    simulation.run(std::chrono::seconds(20));
+    CHECK(simulation.engine("middle-0").layers == held);
+    CHECK(simulation.minRequestCapacity() >= 0.9 * before);
 }
 
-// Guards against a gap that is closed twice, the second time by engines that are needed.
-TEST_CASE("nobody is moved over a gap that an engine fills by another's order")
+// Guards against closing a gap twice, the second time with engines that are needed elsewhere.
+TEST_CASE(
+    "no engine is moved over a gap while an empty engine carries out another instance's order")
 {
-    Plan plan = domainOfTwoLarge();
-    plan.at("large-0").layers = {};
-    plan.at("large-0").busy = true;
-    plan.at("large-0").id = "back";
-    const std::size_t before = plan.orders;
-    plan.run(std::chrono::seconds(5));
-    CHECK(plan.orders == before);
-    plan.run(std::chrono::seconds(5));
-    CHECK(plan.least() >= 1);
+    PlannerSimulation simulation = domainWithTwoLarge();
+    simulation.engine("large-0").layers = {};
+    simulation.engine("large-0").busy = true;
+    simulation.engine("large-0").id = "back";
+    const std::size_t before = simulation.orders;
+    simulation.run(std::chrono::seconds(5));
+    CHECK(simulation.orders == before);
+    simulation.run(std::chrono::seconds(5));
+    CHECK(simulation.minHolders() >= 1);
 }
 
-// Guards against a dead engine whose entry stays for some beats and counts as a holder.
-TEST_CASE("an engine that comes back before its dead process has lapsed takes its place")
+// Guards against counting a crashed engine as a holder while its entry is still listed.
+TEST_CASE("a restarted engine replaces its old process while that one is still listed")
 {
-    Plan plan = domainOfTwoLarge();
-    const double before = plan.narrowest();
-    const FleetEndpoint dead = plan.at("large-0");
-    plan.add("back", "a", "large");
-    plan.at("back").address = dead.address;
-    plan.run(milliseconds(700));
-    std::erase_if(plan.fleet.endpoints, [&](const auto &each) { return each.id == dead.id; });
-    plan.run(milliseconds(500));
-    CHECK(plan.least() >= 1);
-    CHECK(plan.narrowest() >= 0.9 * before);
+    PlannerSimulation simulation = domainWithTwoLarge();
+    const double before = simulation.minRequestCapacity();
+    const FleetEndpoint dead = simulation.engine("large-0");
+    simulation.add("back", "a", "large");
+    simulation.engine("back").address = dead.address;
+    simulation.run(milliseconds(700));
+    std::erase_if(simulation.fleet.endpoints, [&](const auto &each) { return each.id == dead.id; });
+    simulation.run(milliseconds(500));
+    CHECK(simulation.minHolders() >= 1);
+    CHECK(simulation.minRequestCapacity() >= 0.9 * before);
 }
