--- a/src/balsamloftd/adminserver.cpp
+++ b/src/balsamloftd/adminserver.cpp
@@ -388,8 +388,8 @@
                                   {"address", state.address},
                                   {"domain", state.domain},
                                   {"slots", state.slots},
-                                  {"own", state.own},
-                                  {"others", state.others},
+                                  {"own", state.ownRequests},
+                                  {"others", state.otherRequests},
                                   {"step_us", state.stepTime.count()},
                                   {"leaving", state.leaving},
                                   {"ejected", state.ejected}});
--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -252,7 +252,7 @@
     if (table == SharedTable::Configuration && m_table)
         m_state.keysKnownAt = state.knownAt.time_since_epoch().count();
     if (table == SharedTable::Endpoints) {
-        m_fleet.heard(now - age);
+        m_fleet.listConfirmed(now - age);
         publishFleet();
         reportsArrived(answer.engines);
     }
@@ -347,7 +347,7 @@
 
 void Control::publishFleet()
 {
-    m_state.fleetKnown = m_fleet.known();
+    m_state.fleetKnown = m_fleet.loaded();
     if (!m_fleet.dirty())
         return;
     const FleetPtr before = std::exchange(m_fleetNow, m_fleet.snapshot());
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -101,7 +101,7 @@
         asked.state.used = report->used;
         asked.state.active = report->active;
         asked.state.queued = report->queued;
-        asked.state.pace = report->pace;
+        asked.state.slowdown = report->pace;
         asked.layers = report->layers;
         asked.busy = report->busy;
         asked.answeredAt = asked.state.at;
@@ -169,7 +169,7 @@
 
 void Control::place(Time now)
 {
-    if (!m_table || !m_fleet.known())
+    if (!m_table || !m_fleet.loaded())
         return;
     for (const RoutedService &service : m_table->services()) {
         if (!service.model)
@@ -215,7 +215,7 @@
 /// The reader of the domain fills its gaps, with the lease or without it.
 void Control::fillGaps(Time now)
 {
-    if (m_stopping || !m_table || !m_fleet.known() || !isDomainReader())
+    if (m_stopping || !m_table || !m_fleet.loaded() || !isDomainReader())
         return;
     const auto silent = silentEngines();
     if (!silent)
--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -173,7 +173,7 @@
         each.set_used(engine.used);
         each.set_active(engine.active);
         each.set_queued(engine.queued);
-        each.set_pace(engine.pace);
+        each.set_pace(engine.slowdown);
         each.set_silent(engine.silent);
         each.set_age_ms(ageMs(engine.at));
     }
--- a/src/include/balsamloft/enginefleet.h
+++ b/src/include/balsamloft/enginefleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// The endpoints as the platform lists them, through outages of the list.
+/// The endpoints that the platform lists, kept through outages of the list.
 
 #pragma once
 
@@ -14,15 +14,15 @@
 
 namespace balsamloft {
 
-/// One process of an endpoint. A restart is another one: it holds and knows
-/// nothing of the one before, whether or not it is listed under the same name.
+/// One process of an endpoint. A restarted process is a different FleetEndpoint, even if it is
+/// listed under the same name: it has neither the layers nor the requests of the old one.
 struct FleetEndpoint
 {
     std::string id; ///< of this process alone, see processId()
-    std::string name; ///< that it is listed under; a restart may keep it
-    std::uint64_t startedAt = 0; ///< when it started, Unix milliseconds; 0: not told
+    std::string name; ///< that it is listed under; a restarted process may reuse it
+    std::uint64_t startedAt = 0; ///< Unix milliseconds; 0: unknown
     std::string service;
-    std::string address; ///< "IP:port"; used again by others once this one is gone
+    std::string address; ///< "IP:port"; may be reused by another endpoint later
     std::string domain;
     std::string kind; ///< of accelerator; empty for plain services
     std::uint32_t slots = 1;
@@ -33,9 +33,9 @@
     bool operator==(const FleetEndpoint &) const = default;
 };
 
-/// The id of the process that is listed under \a name and was started at \a startedAt.
-/// All that is believed of an endpoint is kept under it: a restart under the same
-/// name would else inherit the load, the suspicion and the orders of the dead one.
+/// Returns the id of the process that is listed under \a name and started at \a startedAt. All
+/// records of an endpoint are kept by this id, so that a restarted process doesn't inherit the
+/// load, suspicion and orders of the old one.
 std::string processId(std::string_view name, std::uint64_t startedAt);
 
 /// The endpoints at one moment. Immutable.
@@ -43,17 +43,20 @@
 {
     std::uint64_t number = 0; ///< rises with each snapshot of a process
     std::vector<FleetEndpoint> endpoints;
-    /// Positions of the endpoints in the order of their ids, see indexById(); empty: all are
-    /// looked at.
+    /// Indexes of \a endpoints in the order of their ids, see indexById(). If empty, find()
+    /// searches linearly.
     std::vector<std::uint32_t> byId;
 
-    /// Makes find() fast; to be called when all endpoints are there.
+    /// Speeds up find(). Call it once all endpoints are added.
     void indexById();
     const FleetEndpoint *find(std::string_view id) const;
-    const FleetEndpoint *atAddress(std::string_view address) const;
 
-    /// Ids of engines of \a service that are listed still and surely gone: an engine starts
-    /// without layers, so one that has some ended if another has none at its address.
+    /// The endpoint at \a address, preferably one that is not draining.
+    const FleetEndpoint *findByAddress(std::string_view address) const;
+
+    /// Ids of engines of \a service that are still listed but have certainly terminated. An
+    /// engine starts without layers, so one with layers has terminated if another engine at
+    /// its address has none.
     std::set<std::string> replaced(std::string_view service) const;
 };
 
@@ -62,39 +65,40 @@
 /// Settings of a FleetTracker.
 struct FleetSettings
 {
-    /// Entries that vanished in an outage of the list come back within this time.
+    /// Time in which entries that expired during an outage of the list are written again.
     Duration recoveryTime {2'000'000};
-    /// How often endpoints write themselves down.
+    /// Interval at which endpoints renew their entries.
     Duration heartbeatInterval {1'200'000};
-    /// Beats that an endpoint misses before its entry may lapse.
+    /// Heartbeats that an endpoint misses before its entry may expire.
     double heartbeatsToExpire = 3;
 };
 
-/// Follows the list of endpoints. It forgets an entry at once when the list is
-/// well, but after an outage only once the entry had time to come back: entries
-/// lapse while the list is down although their endpoints live. What was not
-/// heard of for less time than an entry needs to lapse was no such outage.
+/// Follows the list of endpoints. While the list is available, an entry that disappears is
+/// removed at once. After an outage it is removed only if it is not written again in time,
+/// because entries expire while the list is down even though their endpoints are alive. An
+/// outage is a time without any answer that is long enough for entries to expire.
 class FleetTracker
 {
 public:
     explicit FleetTracker(FleetSettings settings = {});
 
     // Commands
+    //
+    // All times are those at which the list answered, even if the answer arrived later.
 
     /// The whole list, as read at \a now.
     void listed(std::vector<FleetEndpoint> endpoints, Time now);
 
-    /// One entry was written.
+    /// An entry was written.
     void changed(FleetEndpoint endpoint, Time now);
 
-    /// The entry under \a name was dropped, or names no endpoint any more.
+    /// The entry under \a name was deleted, or is no valid endpoint any more.
     void dropped(std::string_view name, Time now);
 
-    /// The list was as told at \a now, whether or not anything had changed. Here as
-    /// above, the time is that of the list's own answer, however late it came.
-    void heard(Time now);
+    /// The known state of the list was current at \a now.
+    void listConfirmed(Time now);
 
-    /// Forgets what had its time to come back.
+    /// Removes entries that were not written again in time after an outage.
     void tick(Time now);
 
     // Queries
@@ -102,34 +106,36 @@
     /// Whether endpoints changed since the last snapshot.
     bool dirty() const { return m_dirty; }
     FleetPtr snapshot();
-    bool known() const { return m_known; }
+
+    /// Whether the list was read at least once.
+    bool loaded() const { return m_loaded; }
 
 private:
     struct Entry
     {
         FleetEndpoint endpoint;
-        std::optional<Time> forgetAt; ///< vanished; set only around an outage
+        std::optional<Time> removeAt; ///< set if it disappeared around an outage
     };
 
-    Duration shortestOutage() const;
-    bool outdated(const FleetEndpoint &endpoint) const;
-    void forgetOldStarts(Time now);
-    void vanished(std::map<std::string, Entry, std::less<>>::iterator it, Time now);
+    Duration minOutage() const;
+    bool isOutdated(const FleetEndpoint &endpoint) const;
+    void removeOldStarts(Time now);
+    void disappeared(std::map<std::string, Entry, std::less<>>::iterator it, Time now);
 
     FleetSettings m_settings;
-    /// The youngest start that was seen under a name.
+    /// The latest known start of a process under a name.
     struct Start
     {
         std::uint64_t startedAt = 0;
-        Time seenAt {}; ///< last heard of
-        bool leaving = false; ///< it announced that it leaves
+        Time seenAt {}; ///< when it was last seen in the list
+        bool leaving = false; ///< it announced that it will exit
     };
 
     std::map<std::string, Entry, std::less<>> m_entries; ///< by name
-    std::map<std::string, Start, std::less<>> m_starts; ///< by name, also of those that are gone
-    bool m_known = false;
+    std::map<std::string, Start, std::less<>> m_starts; ///< by name, removed entries included
+    bool m_loaded = false;
     bool m_dirty = false;
-    Time m_heardAt {};
+    Time m_confirmedAt {};
     Time m_outageEndedAt {}; ///< when the list answered again after an outage
     std::uint64_t m_number = 0;
 };
--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -1,6 +1,5 @@
 /// \file
-/// What one instance believes of endpoints: its own work on them, their health
-/// and their pace, each with its age.
+/// Estimates of the load, health and speed of endpoints, kept by one instance.
 
 #pragma once
 
@@ -16,77 +15,77 @@
 /// Settings of an EngineTracker.
 struct EngineTrackerSettings
 {
-    Duration suspicion {4'000'000}; ///< a silent endpoint is left out this long
-    Duration initialBusyPause {150'000}; ///< an endpoint without room is left out this long
-    Duration maxBusyPause {2'400'000}; ///< doubled with each refusal in a row, up to this
-    Duration slowdownLifetime {3'000'000}; ///< a report of slowness is believed this long
+    Duration suspectDuration {4'000'000}; ///< an unresponsive endpoint is not used this long
+    Duration initialBusyPause {150'000}; ///< an endpoint that refused is not used this long
+    Duration maxBusyPause {2'400'000}; ///< the pause doubles with each refusal up to this
+    Duration slowdownLifetime {3'000'000}; ///< a reported slowdown is used this long
     Duration failureHalfLife {3'000'000};
-    Duration reportLifetime {2'500'000}; ///< a report of load is believed this long
-    /// Engines are asked about so often; one that is still as it was has taken in by then
-    /// what was sent there.
+    Duration reportLifetime {2'500'000}; ///< a load report is used this long
+    /// Interval at which engines are queried. If an engine's state is confirmed as unchanged
+    /// after it, the state includes the requests sent before.
     Duration reportInterval {1'000'000};
 };
 
-/// What an engine said of itself, or that it did not answer.
+/// The state that an engine reported, or that it did not answer.
 struct EngineState
 {
     std::string id;
     double used = 0; ///< KV memory in use, in tokens times layers
-    std::uint32_t active = 0; ///< requests that run on it, of all instances
-    std::uint32_t queued = 0; ///< requests that wait there
-    double pace = 1;
-    bool silent = false;
-    Time at {}; ///< when it was so
+    std::uint32_t active = 0; ///< running requests of all instances
+    std::uint32_t queued = 0; ///< waiting requests of all instances
+    double slowdown = 1; ///< step time over what is normal for its kind
+    bool silent = false; ///< it did not answer
+    Time at {}; ///< time of the observation
 };
 
-/// What one instance tells another of engines.
+/// Engine states that one instance sends to another.
 struct EngineReports
 {
     std::vector<EngineState> changed;
-    /// By domain: all others of its engines are still as told before, as of then.
+    /// By domain: the time at which all its other engines were still in the state sent before.
     std::map<std::string, Time> asOf;
 };
 
-/// Whether \a now differs from what was \a told before by enough to change a choice;
-/// \a room: the engine's KV memory, in tokens times layers.
-bool differsNoticeably(const EngineState &told, const EngineState &now, double room);
+/// Whether \a now differs from \a before by enough to change the choice of a path.
+/// \a kvCapacity: the engine's KV memory, in tokens times layers.
+bool differsNoticeably(const EngineState &before, const EngineState &now, double kvCapacity);
 
-/// Belief about one endpoint.
+/// What is recorded of one endpoint. Requests of this instance are "own" requests.
 struct EngineEstimate
 {
-    std::uint32_t streams = 0; ///< own requests on it
+    std::uint32_t ownRequests = 0; ///< on the endpoint now
     double tokenLayers = 0; ///< KV memory that they need, in tokens times layers
     Time suspectUntil {};
-    Time lastAnswerAt {}; ///< it answered this instance last
-    Time pausedUntil {};
-    std::uint32_t consecutiveRefusals = 0; ///< refusals in a row
-    double pace = 1; ///< over 1: slower than its kind
+    Time lastAnswerAt {}; ///< last answer to this instance
+    Time pausedUntil {}; ///< set by refusals
+    std::uint32_t consecutiveRefusals = 0;
+    double slowdown = 1; ///< step time over what is normal for its kind
     Time slowdownUntil {};
-    double failures = 0; ///< decaying count of failed requests
-    double answers = 0; ///< decaying count of all requests
+    double failures = 0; ///< failed requests, decaying
+    double outcomes = 0; ///< all finished requests, decaying
     Time decayedAt {};
-    std::uint32_t ownStartingHere = 0; ///< own requests that entered the engines here
-    Time reportedAt {}; ///< never: the beginning of time
-    Time confirmedAt {}; ///< as of then it still was so
-    Time ownCountedAt {}; ///< own work was counted then, see ownUsedAtReport
+    std::uint32_t ownStartingHere = 0; ///< own requests whose path begins here
+    Time reportedAt {}; ///< time of the last report; zero: none
+    Time confirmedAt {}; ///< the report was confirmed as unchanged up to then
+    Time ownCountedAt {}; ///< when ownUsedAtReport was set
     double reportedUsed = 0;
     std::uint32_t reportedActive = 0;
     std::uint32_t reportedQueued = 0;
-    double ownUsedAtReport = 0; ///< own work that the report is taken to hold
-    std::uint32_t ownRequestsAtReport = 0;
+    double ownUsedAtReport = 0; ///< the part of tokenLayers that the report includes
+    std::uint32_t ownRequestsAtReport = 0; ///< own requests that the report includes
 };
 
-/// All work on an endpoint, as far as it can be known.
+/// The load of an endpoint by requests of all instances.
 struct EngineLoad
 {
     double used = 0; ///< KV memory, in tokens times layers
-    double streams = 0;
-    double queued = 0; ///< requests that wait for room
-    bool reported = false; ///< the engine said so of late; else it is an estimate
+    double requests = 0;
+    double queued = 0; ///< requests that wait for KV memory
+    bool reported = false; ///< based on a recent report, not only on own requests
 };
 
-/// Beliefs about all endpoints. Endpoints are named by id: what was believed of
-/// one process does not hold for the next one at its address.
+/// Tracks the load, health and speed of all endpoints. Endpoints are identified by the id of
+/// their process, so a restarted process at the same address begins with a new estimate.
 class EngineTracker
 {
 public:
@@ -94,86 +93,94 @@
 
     // Commands
 
-    /// Forgets endpoints that are not in \a fleet and hold no own work.
-    void follow(const FleetSnapshot &fleet);
-    void started(const std::string &id, double tokenLayers, bool first);
-    void ended(const std::string &id, double tokenLayers, bool first);
+    /// Removes endpoints that are not in \a fleet and have no own requests.
+    void removeUnlisted(const FleetSnapshot &fleet);
 
-    /// The endpoint did not answer or broke off.
+    /// An own request starts on the endpoint. \a startsHere: its path begins there.
+    void requestStarted(const std::string &id, double tokenLayers, bool startsHere);
+
+    /// An own request leaves the endpoint, with the arguments of requestStarted().
+    void requestFinished(const std::string &id, double tokenLayers, bool startsHere);
+
+    /// The endpoint did not answer, or broke off an answer.
     void suspect(const std::string &id, Time now);
 
     /// The endpoint answered this instance: it is alive.
     void recordAnswer(const std::string &id, Time now);
 
-    /// The endpoint refused for want of room, or of a part that it gave up. One
-    /// that goes on refusing is left alone for longer and longer: each refusal
-    /// costs one of the few repeats.
+    /// The endpoint refused a request because it lacks KV memory or layers that it has
+    /// released. The pause doubles with each further refusal, since each one uses up one of
+    /// the few retries.
     void refusedBusy(const std::string &id, Time now);
-    /// A request ran through the endpoint.
+
+    /// A request passed through the endpoint.
     void resetRefusals(const std::string &id);
-    void setSlowdown(const std::string &id, double pace, Time now);
-    void finished(const std::string &id, bool failed, Time now);
+    void setSlowdown(const std::string &id, double slowdown, Time now);
+
+    /// Counts a finished request for failureShare().
+    void recordOutcome(const std::string &id, bool failed, Time now);
 
-    /// The endpoint in \a domain said that \a running requests entered there.
-    void updateScale(const std::string &id, const std::string &domain, std::uint32_t running);
+    /// The endpoint in \a domain reported \a running requests whose paths begin there.
+    void updateWorkRatio(const std::string &id, const std::string &domain, std::uint32_t running);
 
-    /// An engine's state, as this instance or another one asked for it.
+    /// An engine's state, queried by this instance or another one.
     void reported(const EngineState &state, Time now);
 
-    /// As of \a at the engine is as it was reported last.
+    /// At the time \a at, the engine was still in its last reported state.
     void confirmUnchanged(std::string_view id, Time at, Time now);
 
-    /// How many instances are believed to send work to a domain's engines.
+    /// Sets the number of instances that send requests to a domain's engines.
     void setSharingInstances(double sharingInstances) { m_sharingInstances = sharingInstances; }
 
-    /// A request of this instance goes from \a from to \a to, two domains, and takes
-    /// their pipe for \a pipeMs.
-    void recordTransfer(const std::string &from, const std::string &to, double pipeMs, Time now);
+    /// An own request passes from the domain \a from to \a to and uses the link between them
+    /// for \a transferMs.
+    void recordTransfer(const std::string &from, const std::string &to, double transferMs,
+                        Time now);
 
-    /// How many instances there are in all domains.
+    /// Sets the number of instances in all domains.
     void setInstances(double instances) { m_instances = instances; }
 
     // Queries
 
-    /// Instances that are believed to send work to a domain's engines.
+    /// Number of instances that send requests to a domain's engines.
     double sharingInstances() const { return m_sharingInstances; }
 
-    /// Share of the time that the pipe between two domains is believed to be in
-    /// use: own requests of late, times the instances.
+    /// Estimated utilization of the link between two domains: recent own transfers times the
+    /// number of instances.
     double linkLoad(std::string_view from, std::string_view to, Time now) const;
 
     const EngineEstimate *find(std::string_view id) const;
     bool suspected(std::string_view id, Time now) const;
     bool usable(std::string_view id, Time now) const;
 
-    /// All work in \a domain over own work there: other instances' work cannot
-    /// be seen, but engines say how much entered in all.
-    double scale(const std::string &domain) const;
+    /// Estimated ratio of all requests in \a domain to own requests there. Requests of other
+    /// instances are not visible, but engines report how many paths begin at them in total.
+    double workRatio(const std::string &domain) const;
 
-    /// Work on an engine in \a domain: what it last said and what came since, or
-    /// own work scaled when it said nothing of late.
+    /// Load of an engine in \a domain: its last report and the requests sent since. Without a
+    /// recent report, own requests times workRatio().
     EngineLoad load(std::string_view id, const std::string &domain, Time now) const;
 
-    /// Share of failed requests of late, between 0 and 1.
+    /// Recent share of failed requests, between 0 and 1.
     double failureShare(std::string_view id, Time now) const;
 
 private:
-    static void countOwn(EngineEstimate &belief, Time now);
-    EngineEstimate &belief(const std::string &id) { return m_beliefs[id]; }
-    double decay(const EngineEstimate &belief, Time now) const;
+    static void countOwn(EngineEstimate &estimate, Time now);
+    EngineEstimate &estimate(const std::string &id) { return m_estimates[id]; }
+    double decay(const EngineEstimate &estimate, Time now) const;
 
     EngineTrackerSettings m_settings;
-    std::map<std::string, EngineEstimate, std::less<>> m_beliefs;
-    std::map<std::string, double> m_scales;
+    std::map<std::string, EngineEstimate, std::less<>> m_estimates; ///< by endpoint
+    std::map<std::string, double> m_workRatios; ///< by domain
     double m_sharingInstances = 3;
 
-    /// Own use of the pipe between two domains.
-    struct PipeUse
+    /// Own use of the link between two domains.
+    struct LinkUse
     {
         double ms = 0; ///< decaying sum
-        Time at {};
+        Time at {}; ///< of the last transfer
     };
-    std::map<std::pair<std::string, std::string>, PipeUse, std::less<>> m_pipes;
+    std::map<std::pair<std::string, std::string>, LinkUse, std::less<>> m_links;
     double m_instances = 8;
 };
 
--- a/src/include/balsamloft/orders.h
+++ b/src/include/balsamloft/orders.h
@@ -1,6 +1,6 @@
 /// \file
-/// Carries placement out: orders to engines under a lease, re-asserted until
-/// what is observed matches what is wanted.
+/// Sends placement orders to engines under a lease, and repeats them until the engines report
+/// the wanted state.
 
 #pragma once
 
@@ -14,12 +14,12 @@
 /// Settings of an OrderManager.
 struct OrderSettings
 {
-    Duration resendAfter {5'000'000}; ///< an order that shows no effect is sent again
-    Duration maxTransit {5'000'000}; ///< longest that an order can be under way
+    Duration resendAfter {5'000'000}; ///< if the engine does not report the wanted state
+    Duration maxTransit {5'000'000}; ///< longest time that an order takes to arrive
     Duration leaseDuration {9'000'000};
 };
 
-/// What an engine says it holds.
+/// The state that an engine reports.
 struct ObservedEngine
 {
     std::string engine;
@@ -28,7 +28,7 @@
     bool loading = false;
 };
 
-/// An order: an absolute state, not a change, so that repeating one is harmless.
+/// An order to an engine. It has the complete wanted state, so that it can be repeated.
 struct SendOrder
 {
     std::string engine;
@@ -38,7 +38,7 @@
 
 using OrderActions = std::vector<SendOrder>;
 
-/// Decides which orders may be sent now.
+/// Decides which orders are due and may be sent now.
 class OrderManager
 {
 public:
@@ -46,24 +46,26 @@
 
     // Commands
 
-    /// Wants \a assignment at its engine. \a checksFencing: the engine refuses
-    /// orders with an old fencing number.
+    /// Sets the wanted state of the engine of \a assignment. \a checksFencing: the engine
+    /// refuses orders with an old fencing number.
     void setWanted(Assignment assignment, bool checksFencing);
     void forget(const std::string &engine);
     void observed(const ObservedEngine &engine);
 
-    /// Appends the orders that are due. \a holds and \a fencing are of the
-    /// lease, read now; \a acquiredAt is when it was acquired.
-    void tick(bool holds, std::uint64_t fencing, Time acquiredAt, Time now, OrderActions &actions);
+    /// Appends the orders that are due. \a holdsLease, \a fencing and \a acquiredAt are the
+    /// state of the lease, which must be read right before the call.
+    void tick(bool holdsLease, std::uint64_t fencing, Time acquiredAt, Time now,
+              OrderActions &actions);
 
     // Queries
 
+    /// Whether the engine reports the wanted state.
     bool isApplied(const std::string &engine) const;
 
-    /// Loads that were ordered and are not observed yet.
+    /// Number of engines that do not report their wanted model yet.
     std::uint32_t loading() const;
 
-    /// Engines that show another state than wanted, with what they show.
+    /// A line for each engine that does not report the wanted state.
     std::vector<std::string> mismatches() const;
     std::uint64_t ordersSent() const { return m_ordersSent; }
 
@@ -72,7 +74,7 @@
     {
         Assignment assignment;
         bool checksFencing = false;
-        std::optional<ObservedEngine> seen;
+        std::optional<ObservedEngine> observed;
         Time sentAt {};
         bool sent = false;
     };
--- a/src/include/balsamloft/placement.h
+++ b/src/include/balsamloft/placement.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which models the free engines of a failure domain hold.
+/// Decides which models the engines of a failure domain hold.
 
 #pragma once
 
@@ -11,28 +11,28 @@
 
 namespace balsamloft {
 
-/// What an engine holds, or is to hold.
+/// The model and layers that an engine holds or is to hold.
 struct Assignment
 {
     std::string engine;
-    std::string model; ///< empty: nothing
+    std::string model; ///< empty: none
     std::string version;
     LayerRange layers;
-    std::string replica; ///< engines of one replica cover all layers together
+    std::string replica; ///< engines of one replica hold all layers together
 
     bool operator==(const Assignment &) const = default;
 };
 
-/// An engine whose model placement decides.
+/// An engine to which Placement assigns models.
 struct PlacementEngine
 {
     std::string name;
     double memoryGigabytes = 0;
     double speed = 1;
-    bool usable = true; ///< not leaving, not gone
+    bool usable = true; ///< false if it is lost or about to unload
 };
 
-/// A model and what is asked of it.
+/// A model and the demand for it.
 struct PlacementModel
 {
     std::string name;
@@ -46,36 +46,37 @@
 /// Settings of a Placement.
 struct PlacementSettings
 {
-    double tokensPerSpeed = 100; ///< tokens per second of a whole-model engine of speed 1
-    double scaleUpAbove = 0.8; ///< of the rate of the replicas held
-    double scaleDownBelow = 0.3;
-    Duration scaleDownDelay {300'000'000}; ///< low demand must last this long
-    Duration scaleToZeroDelay {900'000'000};
-    std::uint32_t maxConcurrentLoads = 2; ///< at a time: the weight store is rate-limited
+    double tokensPerSpeed = 100; ///< tokens per second of an engine of speed 1 with all layers
+    double scaleUpAbove = 0.8; ///< share of the replicas' total token rate
+    double scaleDownBelow = 0.3; ///< the same for removing a replica
+    Duration scaleDownDelay {
+        300'000'000}; ///< how long low demand lasts before a replica is removed
+    Duration scaleToZeroDelay {900'000'000}; ///< the same for the last replica without demand
+    std::uint32_t maxConcurrentLoads = 2; ///< the weight store is rate-limited
 };
 
-/// Why a step is taken, for `explain`.
+/// Loads or unloads one replica.
 struct PlacementStep
 {
-    std::vector<Assignment> assignments; ///< of one replica; no model: unload
-    std::string reason;
+    std::vector<Assignment> assignments; ///< engines without a model unload it
+    std::string reason; ///< shown to operators
 };
 
-/// Plans one step at a time from what is held now. Deterministic.
+/// Plans the next steps from the current assignments. Deterministic.
 class Placement
 {
 public:
     explicit Placement(PlacementSettings settings = {});
 
-    /// Returns the steps to take now. \a current holds what each engine holds
-    /// or is loading; \a loading counts the loads under way.
+    /// Returns the steps to take now. \a current: what each engine holds or is loading.
+    /// \a loading: number of loads in progress.
     std::vector<PlacementStep> plan(std::span<const PlacementEngine> engines,
                                     std::span<const PlacementModel> models,
                                     std::span<const Assignment> current, std::uint32_t loading,
                                     Time now);
 
-    /// Splits \a model over \a engines so that the slowest stage is as fast as
-    /// can be and each part fits its memory. Nothing when it does not fit.
+    /// Splits \a model over \a engines so that each part fits its engine's memory and the
+    /// slowest stage is as fast as possible. Returns nothing if the model does not fit.
     static std::optional<std::vector<Assignment>>
     splitLayers(const PlacementModel &model, std::span<const PlacementEngine> engines,
                 std::string_view replica);
@@ -91,17 +92,18 @@
         std::string name;
         std::vector<Assignment> parts;
         double rate = 0;
-        bool whole = true; ///< all engines usable, all layers covered, version right
+        bool complete = true; ///< all engines usable, all layers held, current version
     };
 
     std::vector<Replica> replicasOf(const PlacementModel &model,
                                     std::span<const PlacementEngine> engines,
                                     std::span<const Assignment> current) const;
-    std::optional<PlacementStep> grow(const PlacementModel &model,
-                                      std::vector<PlacementEngine> &free, std::string reason);
-    static PlacementStep shrink(const Replica &replica, std::string reason);
-    double rateOf(const Replica &replica, std::span<const PlacementEngine> engines,
-                  std::uint32_t layers) const;
+    std::optional<PlacementStep> addReplica(const PlacementModel &model,
+                                            std::vector<PlacementEngine> &freeEngines,
+                                            std::string reason);
+    static PlacementStep removeReplica(const Replica &replica, std::string reason);
+    double tokenRate(const Replica &replica, std::span<const PlacementEngine> engines,
+                     std::uint32_t layers) const;
 
     PlacementSettings m_settings;
     std::map<std::string, ModelState> m_states;
--- a/src/include/balsamloft/placementmanager.h
+++ b/src/include/balsamloft/placementmanager.h
@@ -1,5 +1,5 @@
 /// \file
-/// Placement of one failure domain, by whoever holds its lease.
+/// Placement of models in one failure domain, done by the instance that holds its lease.
 
 #pragma once
 
@@ -14,13 +14,14 @@
 {
     std::string domain;
     Duration planInterval {2'000'000};
-    Duration unloadDelay {15'000'000}; ///< from "not in force" to the order to unload
+    Duration unloadDelay {
+        15'000'000}; ///< from the removal from the configuration to the order to unload
     PlacementSettings placement;
     OrderSettings orders;
 };
 
-/// Put these entries in force: the engines hold what they say, or are no
-/// longer to be used.
+/// A proposed change of the configuration. It adds entries for engines that have loaded their
+/// layers, or removes those of engines that are to unload.
 struct ProposePlacement
 {
     ConfigEdits edits;
@@ -35,9 +36,9 @@
     Time acquiredAt {};
 };
 
-/// Loads before it routes, and routes away before it unloads. All it must
-/// remember beyond its own life is in the configuration; a new holder starts
-/// from that and from what the engines show.
+/// Loads models on engines before requests are routed to them, and stops routing to engines
+/// before they unload. Persistent state is in the configuration only: a new lease holder
+/// continues from it and from the states that the engines report.
 class PlacementManager
 {
 public:
@@ -49,20 +50,21 @@
 
     void observed(const ObservedEngine &engine) { m_orders.observed(engine); }
 
-    /// Plans and re-asserts. \a entries are those of \a config.
+    /// Plans steps and repeats orders that have not taken effect. \a entries are those of
+    /// \a config.
     void tick(const Config &config, const ConfigEntries &entries, const LeaseView &lease,
               const DemandFunction &demand, Time now, OrderActions &orders,
               std::vector<ProposePlacement> &proposals);
 
-    /// The last proposal was decided; another may be made.
+    /// The last proposal was decided, so that another may be made.
     void proposalDone() { m_proposing = false; }
 
     // Queries
 
-    /// Names of the engines that are to be asked what they hold.
+    /// Names of the engines that placement may assign models to.
     static std::vector<std::string> placeableEngines(const Config &config, std::string_view domain);
 
-    /// Recent steps with their reasons, and what engines do not show yet.
+    /// Reasons of recent steps, and the engines that do not report the wanted state yet.
     std::vector<std::string> explain() const;
     std::uint64_t loadsOrdered() const { return m_loadsOrdered; }
 
@@ -74,18 +76,19 @@
         std::string reason;
     };
 
-    void startSteps(const Config &config, const DemandFunction &demand, Time now);
-    void assertAll(const Config &config, Time now);
+    void planSteps(const Config &config, const DemandFunction &demand, Time now);
+    void updateWantedStates(const Config &config, Time now);
     void proposeLoaded(const ConfigEntries &entries, std::vector<ProposePlacement> &proposals);
     void proposeUnload(const ConfigEntries &entries, std::vector<ProposePlacement> &proposals);
-    void note(const std::string &line);
+    void addNote(const std::string &line);
 
     PlacementManagerSettings m_settings;
     Placement m_placement;
     OrderManager m_orders;
     std::map<std::string, Loading> m_loading; ///< by replica
-    std::map<std::string, std::string> m_unloading; ///< engine to reason, still in force
-    std::map<std::string, Time> m_routedAway; ///< engine: since when not in force
+    std::map<std::string, std::string>
+        m_unloading; ///< reason by engine, still in the configuration
+    std::map<std::string, Time> m_unroutedSince; ///< by engine: removal from the configuration
     std::vector<std::string> m_notes;
     std::uint64_t m_fencing = 0;
     std::uint64_t m_loadsOrdered = 0;
--- a/src/libbalsamloft/enginefleet.cpp
+++ b/src/libbalsamloft/enginefleet.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// How long the start of a process that is gone is remembered. News of it may
-/// come late by seconds, never by minutes.
-constexpr Duration StartRemembered {120'000'000};
+/// How long the start of a removed process is stored. Updates about it may arrive seconds
+/// late, but not minutes.
+constexpr Duration StartRetention {120'000'000};
 
 } // namespace
 
@@ -44,7 +44,7 @@
     return it == endpoints.end() ? nullptr : &*it;
 }
 
-const FleetEndpoint *FleetSnapshot::atAddress(std::string_view address) const
+const FleetEndpoint *FleetSnapshot::findByAddress(std::string_view address) const
 {
     const FleetEndpoint *found = nullptr;
     for (const FleetEndpoint &each : endpoints)
@@ -55,13 +55,14 @@
 
 std::set<std::string> FleetSnapshot::replaced(std::string_view service) const
 {
-    std::set<std::string_view> begun;
+    std::set<std::string_view> emptyAddresses;
     for (const FleetEndpoint &each : endpoints)
         if (each.service == service && each.layers.length() == 0 && !each.draining)
-            begun.insert(each.address);
+            emptyAddresses.insert(each.address);
     std::set<std::string> replaced;
     for (const FleetEndpoint &each : endpoints)
-        if (each.service == service && each.layers.length() > 0 && begun.contains(each.address))
+        if (each.service == service && each.layers.length() > 0
+            && emptyAddresses.contains(each.address))
             replaced.insert(each.id);
     return replaced;
 }
@@ -71,48 +72,49 @@
 {
 }
 
-/// The last beat may have come a whole interval before the outage. Taken
-/// shorter, an instance that reads from another one would take that one's
-/// failure for an outage of the list, and keep what left meanwhile for seconds
-/// after the others sent it nothing any more.
-Duration FleetTracker::shortestOutage() const
+/// Time without answers after which entries may have expired. The last heartbeat may have come
+/// a whole interval before the outage. With a shorter time, an instance that reads the list
+/// from another instance would take the failure of that instance for an outage of the list.
+/// It would then keep endpoints that left meanwhile for seconds longer than other instances.
+Duration FleetTracker::minOutage() const
 {
     constexpr double Margin = 0.15;
-    const double beats = m_settings.heartbeatsToExpire - 1 - Margin;
-    return Duration(static_cast<std::int64_t>(m_settings.heartbeatInterval.count() * beats));
+    const double heartbeats = m_settings.heartbeatsToExpire - 1 - Margin;
+    return Duration(static_cast<std::int64_t>(m_settings.heartbeatInterval.count() * heartbeats));
 }
 
-void FleetTracker::heard(Time now)
+void FleetTracker::listConfirmed(Time now)
 {
-    if (m_known && now - m_heardAt > shortestOutage())
+    if (m_loaded && now - m_confirmedAt > minOutage())
         m_outageEndedAt = now;
-    m_heardAt = std::max(m_heardAt, now);
+    m_confirmedAt = std::max(m_confirmedAt, now);
 }
 
 void FleetTracker::listed(std::vector<FleetEndpoint> endpoints, Time now)
 {
-    heard(now);
+    listConfirmed(now);
     for (auto it = m_entries.begin(); it != m_entries.end();) {
         const auto next = std::next(it);
-        const bool still = std::any_of(endpoints.begin(), endpoints.end(),
-                                       [&](const auto &each) { return each.name == it->first; });
-        if (!still)
-            vanished(it, now);
+        const bool stillListed =
+            std::any_of(endpoints.begin(), endpoints.end(),
+                        [&](const auto &each) { return each.name == it->first; });
+        if (!stillListed)
+            disappeared(it, now);
         it = next;
     }
     for (FleetEndpoint &each : endpoints)
         changed(std::move(each), now);
-    m_known = true;
+    m_loaded = true;
 }
 
 void FleetTracker::changed(FleetEndpoint endpoint, Time now)
 {
-    heard(now);
-    if (outdated(endpoint))
+    listConfirmed(now);
+    if (isOutdated(endpoint))
         return;
-    // Leaving is never taken back, not even once the entry is gone: one that was sent
-    // before and written late must not bring new work to an endpoint that is about to
-    // exit. Another process under the same name has announced nothing.
+    // A process that announced its exit keeps leaving, even if its entry is removed: an older
+    // entry that is written late must not bring new requests to it. A new process under the
+    // same name begins without the announcement.
     Start &start = m_starts[endpoint.name];
     if (endpoint.startedAt > start.startedAt)
         start = {};
@@ -121,48 +123,47 @@
     start.leaving = start.leaving || endpoint.draining;
     endpoint.draining = start.leaving;
     Entry &entry = m_entries[endpoint.name];
-    entry.forgetAt.reset();
+    entry.removeAt.reset();
     if (entry.endpoint == endpoint)
         return;
     entry.endpoint = std::move(endpoint);
     m_dirty = true;
 }
 
-/// An entry of a process that another one has replaced comes late, by way of
-/// another instance or a slow answer. Taken over, requests and orders would go
-/// to what the dead process held.
-bool FleetTracker::outdated(const FleetEndpoint &endpoint) const
+/// Whether a newer process is known under the same name. The entry of an old process may
+/// arrive late, from another instance or in a slow answer. If it were applied, requests and
+/// orders would be based on the layers of the old process.
+bool FleetTracker::isOutdated(const FleetEndpoint &endpoint) const
 {
     const auto it = m_starts.find(endpoint.name);
     return it != m_starts.end() && endpoint.startedAt < it->second.startedAt;
 }
 
-void FleetTracker::forgetOldStarts(Time now)
+void FleetTracker::removeOldStarts(Time now)
 {
     std::erase_if(m_starts, [&](const auto &each) {
-        return now - each.second.seenAt >= StartRemembered && !m_entries.contains(each.first);
+        return now - each.second.seenAt >= StartRetention && !m_entries.contains(each.first);
     });
 }
 
 void FleetTracker::dropped(std::string_view name, Time now)
 {
-    heard(now);
+    listConfirmed(now);
     const auto it = m_entries.find(name);
     if (it != m_entries.end())
-        vanished(it, now);
+        disappeared(it, now);
 }
 
-void FleetTracker::vanished(std::map<std::string, Entry, std::less<>>::iterator it, Time now)
+void FleetTracker::disappeared(std::map<std::string, Entry, std::less<>>::iterator it, Time now)
 {
-    // While the list was down, entries of the living lapsed too. Forgetting
-    // them at once would leave nothing to route to, so they keep the time in
-    // which the living write themselves down again; what is missing then, is
-    // gone. One that was leaving has nothing to come back for.
-    const bool outage =
+    // Entries of running endpoints expired too while the list was down. Removing them at once
+    // would leave no endpoint to route to, so they stay for the time in which endpoints renew
+    // their entries. Endpoints that announced their exit don't renew them.
+    const bool recovering =
         m_outageEndedAt != Time {} && now - m_outageEndedAt < m_settings.recoveryTime;
-    if (outage && !it->second.endpoint.draining) {
-        if (!it->second.forgetAt)
-            it->second.forgetAt = m_outageEndedAt + m_settings.recoveryTime;
+    if (recovering && !it->second.endpoint.draining) {
+        if (!it->second.removeAt)
+            it->second.removeAt = m_outageEndedAt + m_settings.recoveryTime;
         return;
     }
     m_starts[it->first].seenAt = now;
@@ -173,10 +174,10 @@
 void FleetTracker::tick(Time now)
 {
     const auto erased = std::erase_if(m_entries, [&](const auto &each) {
-        return each.second.forgetAt && now >= *each.second.forgetAt;
+        return each.second.removeAt && now >= *each.second.removeAt;
     });
     m_dirty = m_dirty || erased > 0;
-    forgetOldStarts(now);
+    removeOldStarts(now);
 }
 
 FleetPtr FleetTracker::snapshot()
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double SmoothingWeight = 0.2;
-constexpr double RoundTripMemorySeconds = 10;
+constexpr double RoundTripDecaySeconds = 10;
 
 double smoothed(double old, double sample)
 {
@@ -43,52 +43,51 @@
     }
 }
 
-void LoadView::notePeak(EndpointState &state, Time now) const
+void LoadView::updatePeak(EndpointState &state, Time now) const
 {
     if (now - state.peakWindowStart >= m_settings.reportLag) {
         const bool adjacent = now - state.peakWindowStart < 2 * m_settings.reportLag;
-        state.previousOwnPeak = adjacent ? state.ownPeak : state.own;
-        state.ownPeak = state.own;
+        state.previousOwnPeak = adjacent ? state.ownPeak : state.ownRequests;
+        state.ownPeak = state.ownRequests;
         state.peakWindowStart = now;
     }
-    state.ownPeak = std::max(state.ownPeak, state.own);
+    state.ownPeak = std::max(state.ownPeak, state.ownRequests);
 }
 
 void LoadView::dispatched(EndpointId id, Time now)
 {
-    changeOwn(m_states[id], 1, now);
+    changeOwnRequests(m_states[id], 1, now);
 }
 
 void LoadView::released(EndpointId id, Time now)
 {
-    if (m_states[id].own > 0)
-        changeOwn(m_states[id], -1, now);
+    if (m_states[id].ownRequests > 0)
+        changeOwnRequests(m_states[id], -1, now);
 }
 
-void LoadView::changeOwn(EndpointState &state, int change, Time now) const
+void LoadView::changeOwnRequests(EndpointState &state, int change, Time now) const
 {
     const std::chrono::duration<double> elapsed = now - state.ownMeanAt;
     const std::chrono::duration<double> window = m_settings.reportLag;
     const double weight = 1 - std::exp(-elapsed.count() / window.count());
-    state.ownMean += weight * (state.own - state.ownMean);
+    state.ownMean += weight * (state.ownRequests - state.ownMean);
     state.ownMeanAt = now;
-    state.own = static_cast<std::uint32_t>(static_cast<int>(state.own) + change);
-    notePeak(state, now);
+    state.ownRequests = static_cast<std::uint32_t>(static_cast<int>(state.ownRequests) + change);
+    updatePeak(state, now);
 }
 
 void LoadView::reported(EndpointId id, const LoadReport &report, Time now)
 {
     EndpointState &state = m_states[id];
     const std::uint32_t total = report.running + report.waiting;
-    // The report is of some time ago, when more of the requests there may have
-    // been this instance's own. Taking those that have ended since for
-    // others' would leave their slots empty; erring the other way only costs
-    // a "no room".
-    notePeak(state, now);
+    // The report may be up to reportLag old, and more of the reported requests may have been
+    // own ones then. Counting own requests that have finished since as those of other
+    // instances would leave slots empty; the opposite error only costs a refusal.
+    updatePeak(state, now);
     const std::uint32_t own = std::max(state.ownPeak, state.previousOwnPeak);
-    state.others = total > own ? total - own : 0;
-    // To compare endpoints neither error is better than the other.
-    changeOwn(state, 0, now);
+    state.otherRequests = total > own ? total - own : 0;
+    // A comparison of endpoints needs an unbiased estimate.
+    changeOwnRequests(state, 0, now);
     state.expectedOthers = std::max(0.0, total - state.ownMean);
     state.reportedAt = now;
     if (report.stepTime > Duration::zero()) {
@@ -97,18 +96,18 @@
         state.stepTime =
             Duration(static_cast<std::int64_t>(old > 0 ? smoothed(old, sample) : sample));
     }
-    // Sticky: a late report from before the notice must not bring the endpoint
-    // back. Only a probe answered later can.
+    // Not reset here: a late report from before the announcement must not make the endpoint
+    // usable again. Only the answer to a later probe can.
     state.reportedLeaving = state.reportedLeaving || report.leaving;
 }
 
 void LoadView::refusedBusy(EndpointId id, Time now)
 {
-    // Its own word goes before every report: those lag, and with several
-    // instances acting on the same old one all of them would be turned away
-    // again and again.
+    // A refusal takes precedence over reports: they are delayed, and several instances that
+    // rely on the same old report would be refused again and again.
     EndpointState &state = m_states[id];
-    state.window = state.own > 0 ? state.own - 1 : 0; // the one refused is still counted
+    state.pausedLimit =
+        state.ownRequests > 0 ? state.ownRequests - 1 : 0; // ownRequests includes the refused one
     state.pausedUntil = now
                         + exponentialBackoff(m_settings.initialBusyPause,
                                              state.consecutiveRefusals++, m_settings.maxBusyPause);
@@ -123,15 +122,15 @@
 {
     const EndpointState &state = m_states[id];
     const bool fresh = now - state.reportedAt < m_settings.reportLifetime;
-    return state.own + (fresh ? state.expectedOthers : 0);
+    return state.ownRequests + (fresh ? state.expectedOthers : 0);
 }
 
-bool LoadView::hasFreeSlot(EndpointId id, std::uint32_t beyond, Time now) const
+bool LoadView::hasFreeSlot(EndpointId id, std::uint32_t overcommit, Time now) const
 {
     const EndpointState &state = m_states[id];
-    if (now < state.pausedUntil && beyond == 0)
-        return state.own < state.window;
-    return estimatedLoad(id, now) < state.slots + beyond;
+    if (now < state.pausedUntil && overcommit == 0)
+        return state.ownRequests < state.pausedLimit;
+    return estimatedLoad(id, now) < state.slots + overcommit;
 }
 
 void LoadView::setLeaving(EndpointId id, bool leaving)
@@ -160,8 +159,8 @@
         return false;
     const Duration backoff =
         exponentialBackoff(m_settings.initialEjection, state.ejections, m_settings.maxEjection);
-    // Only a probe ends it: with time alone, callers' requests would be what
-    // finds out, again and again, that it is still gone.
+    // Only a probe ends the ejection. If it ended after some time, callers' requests would
+    // fail each time while the endpoint is still unavailable.
     ++state.ejections;
     state.probeAt = std::max(state.probeAt, now + backoff);
     return !std::exchange(state.ejected, true);
@@ -198,7 +197,7 @@
     const EndpointState &state = m_states[id];
     const std::chrono::duration<double> age = now - state.roundTripAt;
     return Duration(static_cast<std::int64_t>(state.roundTripMicros
-                                              * std::exp(-age.count() / RoundTripMemorySeconds)));
+                                              * std::exp(-age.count() / RoundTripDecaySeconds)));
 }
 
 EndpointId LoadView::find(std::string_view name) const
@@ -211,8 +210,8 @@
 {
     const EndpointState &state = m_states[id];
     if (now - state.reportedAt >= m_settings.reportLifetime)
-        return state.own;
-    return state.own + state.others;
+        return state.ownRequests;
+    return state.ownRequests + state.otherRequests;
 }
 
 bool LoadView::usable(EndpointId id) const
--- a/src/libbalsamloft/orders.cpp
+++ b/src/libbalsamloft/orders.cpp
@@ -28,29 +28,31 @@
 {
     const auto it = m_wanted.find(engine.engine);
     if (it != m_wanted.end())
-        it->second.seen = engine;
+        it->second.observed = engine;
 }
 
 bool OrderManager::matches(const Wanted &wanted)
 {
-    return wanted.seen && !wanted.seen->loading && wanted.seen->model == wanted.assignment.model
-           && (wanted.assignment.model.empty() || wanted.seen->layers == wanted.assignment.layers);
+    return wanted.observed && !wanted.observed->loading
+           && wanted.observed->model == wanted.assignment.model
+           && (wanted.assignment.model.empty()
+               || wanted.observed->layers == wanted.assignment.layers);
 }
 
-void OrderManager::tick(bool holds, std::uint64_t fencing, Time acquiredAt, Time now,
+void OrderManager::tick(bool holdsLease, std::uint64_t fencing, Time acquiredAt, Time now,
                         OrderActions &actions)
 {
-    // The lease is looked at in the same step as the order is made: a holder
-    // that was paused past its lease finds out here and says nothing.
-    if (!holds)
+    // The lease is checked when the orders are created, so an instance that was paused until
+    // its lease expired sends none.
+    if (!holdsLease)
         return;
-    // An engine that checks the number refuses what the last holder still has
-    // under way. One that does not check would take it, even after ours; so it
-    // gets nothing before the old lease and the last order must be over.
-    const bool oldOrdersOver =
+    // An engine that checks the fencing number refuses orders of the last lease holder that
+    // arrive late. Other engines would carry them out even after newer ones, so they get no
+    // order until the old lease has expired and its last order must have arrived.
+    const bool oldOrdersExpired =
         fencing == 1 || now - acquiredAt >= m_settings.leaseDuration + m_settings.maxTransit;
     for (auto &[name, wanted] : m_wanted) {
-        if (matches(wanted) || (!wanted.checksFencing && !oldOrdersOver))
+        if (matches(wanted) || (!wanted.checksFencing && !oldOrdersExpired))
             continue;
         if (wanted.sent && now - wanted.sentAt < m_settings.resendAfter)
             continue;
@@ -81,9 +83,9 @@
     for (const auto &[name, wanted] : m_wanted) {
         if (matches(wanted))
             continue;
-        const std::string seen = wanted.seen ? wanted.seen->model : "unknown";
+        const std::string observed = wanted.observed ? wanted.observed->model : "unknown";
         lines.push_back(name + ": wanted " + wanted.assignment.model + ", holds "
-                        + (seen.empty() ? "nothing" : seen));
+                        + (observed.empty() ? "nothing" : observed));
     }
     return lines;
 }
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -15,29 +15,30 @@
 struct Candidate
 {
     const FleetEndpoint *endpoint = nullptr;
-    double prefillMs = 0; ///< to read the prompt, for each layer
-    double passMs = 0; ///< a pass (one event), for each layer
-    double factor = 1; ///< dearer when nearly full
+    double prefillMs = 0; ///< of the prompt, per layer
+    double passMs = 0; ///< of one pass, which gives one event, per layer
+    double factor = 1; ///< on its cost: fullness, failures and noise
     double fullness = 0;
     bool full = false;
     bool mayBegin = true;
-    std::size_t domain = 0; ///< number of its domain
+    std::size_t domain = 0; ///< index in CrossingCosts
 };
 
-/// What it costs to go from one domain to another inside a path.
-class Crossings
+/// Costs of going from one domain to another inside a path.
+class CrossingCosts
 {
 public:
     /// Numbers the domains of \a candidates.
-    explicit Crossings(std::vector<Candidate> &candidates)
+    explicit CrossingCosts(std::vector<Candidate> &candidates)
     {
         for (Candidate &each : candidates) {
-            const auto [it, fresh] = m_numbers.try_emplace(each.endpoint->domain, m_numbers.size());
+            const auto [it, inserted] =
+                m_numbers.try_emplace(each.endpoint->domain, m_numbers.size());
             each.domain = it->second;
         }
     }
 
-    /// \a costOf: of a pair of domains' names.
+    /// Sets the costs. \a costOf takes the names of two domains.
     template<typename CostOf>
     void fill(CostOf costOf)
     {
@@ -59,60 +60,63 @@
     std::vector<double> m_costs;
 };
 
-/// A cheapest way to have run the layers before a cut.
-struct Step
+/// The cost of running all layers before a boundary, and the entry of the search table that
+/// the last part continues.
+struct PartialPath
 {
     double cost = NoCost;
-    std::size_t fromCut = 0;
-    std::size_t candidate = 0;
+    std::size_t fromBoundary = 0;
+    std::size_t candidate = 0; ///< the engine before that boundary
 };
 
-/// The search over one set of engines: a table of the cheapest ways to each
-/// cut, for each engine that may run the last layers before it.
+/// Finds the cheapest path over a set of engines by dynamic programming. Boundaries are the
+/// layers where an engine's range begins or ends. For each boundary and each engine, the table
+/// has the cheapest partial path whose last part ends there and runs on that engine.
 class Search
 {
 public:
-    Search(std::vector<Candidate> candidates, const LayeredModel &model, const PathPart *first,
-           double passes, double hopCost, double referenceMs, const Crossings &crossings)
+    Search(std::vector<Candidate> candidates, const LayeredModel &model, const PathPart *firstPart,
+           double passes, double hopCost, double referenceMs, const CrossingCosts &crossingCosts)
         : m_candidates(std::move(candidates))
         , m_model(model)
-        , m_first(first)
+        , m_firstPart(firstPart)
         , m_passes(passes)
         , m_hopCost(hopCost)
         , m_referenceMs(referenceMs)
-        , m_crossings(crossings)
+        , m_crossingCosts(crossingCosts)
     {
-        collectCuts();
+        collectBoundaries();
     }
 
-    /// Cost of the cheapest path; infinite when there is none. \a whole: engines
-    /// run all layers from where they begin, so that none can come twice.
-    double run(bool whole)
+    /// Returns the cost of the cheapest path, infinite if there is none. With \a fullRanges,
+    /// each engine runs all layers that it holds from its first one on, so that no engine can
+    /// occur twice.
+    double run(bool fullRanges)
     {
         const std::size_t engines = m_candidates.size();
-        m_table.assign(m_cuts.size() * engines, Step {});
-        for (std::size_t cut = 0; cut + 1 < m_cuts.size(); ++cut) {
-            rankArrivals(cut);
+        m_table.assign(m_boundaries.size() * engines, PartialPath {});
+        for (std::size_t boundary = 0; boundary + 1 < m_boundaries.size(); ++boundary) {
+            findCheapest(boundary);
             for (std::size_t engine = 0; engine < engines; ++engine)
-                extend(cut, engine, whole);
+                extend(boundary, engine, fullRanges);
         }
-        return finish();
+        return findLastEngine();
     }
 
-    /// The parts of the path found, in order; empty when an engine comes twice.
+    /// The parts of the path found, in order; empty if an engine occurs twice.
     std::vector<std::pair<std::size_t, LayerRange>> parts() const
     {
         std::vector<std::pair<std::size_t, LayerRange>> parts;
         std::set<std::size_t> seen;
-        std::size_t cut = m_cuts.size() - 1;
+        std::size_t boundary = m_boundaries.size() - 1;
         std::size_t engine = m_last;
-        while (cut > 0) {
-            const Step &step = m_table[cut * m_candidates.size() + engine];
+        while (boundary > 0) {
+            const PartialPath &partial = m_table[boundary * m_candidates.size() + engine];
             if (!seen.insert(engine).second)
                 return {};
-            parts.push_back({engine, {m_cuts[step.fromCut], m_cuts[cut]}});
-            cut = step.fromCut;
-            engine = step.candidate;
+            parts.push_back({engine, {m_boundaries[partial.fromBoundary], m_boundaries[boundary]}});
+            boundary = partial.fromBoundary;
+            engine = partial.candidate;
         }
         std::reverse(parts.begin(), parts.end());
         return parts;
@@ -121,100 +125,104 @@
     const Candidate &candidate(std::size_t index) const { return m_candidates[index]; }
 
 private:
-    void collectCuts()
+    void collectBoundaries()
     {
-        m_cuts = {0, m_model.layers};
-        if (m_first)
-            m_cuts.push_back(m_first->layers.end);
+        m_boundaries = {0, m_model.layers};
+        if (m_firstPart)
+            m_boundaries.push_back(m_firstPart->layers.end);
         for (const Candidate &each : m_candidates) {
-            m_cuts.push_back(each.endpoint->layers.begin);
-            m_cuts.push_back(std::min(each.endpoint->layers.end, m_model.layers));
+            m_boundaries.push_back(each.endpoint->layers.begin);
+            m_boundaries.push_back(std::min(each.endpoint->layers.end, m_model.layers));
         }
-        std::sort(m_cuts.begin(), m_cuts.end());
-        m_cuts.erase(std::unique(m_cuts.begin(), m_cuts.end()), m_cuts.end());
+        std::sort(m_boundaries.begin(), m_boundaries.end());
+        m_boundaries.erase(std::unique(m_boundaries.begin(), m_boundaries.end()),
+                           m_boundaries.end());
     }
 
-    /// The two engines of a domain that run the layers before a cut at the least cost.
-    struct Arrivals
+    /// The two cheapest partial paths to a boundary that end in the same domain.
+    struct CheapestTwo
     {
-        Step first;
-        Step second;
+        PartialPath first;
+        PartialPath second;
 
-        void add(const Step &step)
+        void add(const PartialPath &partial)
         {
-            if (step.cost < first.cost)
-                second = std::exchange(first, step);
-            else if (step.cost < second.cost)
-                second = step;
+            if (partial.cost < first.cost)
+                second = std::exchange(first, partial);
+            else if (partial.cost < second.cost)
+                second = partial;
         }
     };
 
-    /// What an engine costs that goes on depends on the domain of the one before it
-    /// alone. Compared with each of them instead, a choice among a thousand engines
-    /// takes the processor of a small instance for tens of milliseconds.
-    void rankArrivals(std::size_t cut)
+    /// Finds the cheapest partial paths to \a boundary by domain. The cost of continuing one
+    /// depends only on the domain in which it ends. Comparing all engines instead would keep
+    /// the CPU of a small instance busy for tens of milliseconds with a thousand engines.
+    void findCheapest(std::size_t boundary)
     {
-        m_arrivals.assign(m_crossings.count(), Arrivals {});
+        m_cheapest.assign(m_crossingCosts.count(), CheapestTwo {});
         const std::size_t engines = m_candidates.size();
         for (std::size_t last = 0; last < engines; ++last)
-            m_arrivals[m_candidates[last].domain].add(
-                {m_table[cut * engines + last].cost, cut, last});
+            m_cheapest[m_candidates[last].domain].add(
+                {m_table[boundary * engines + last].cost, boundary, last});
     }
 
-    /// Cheapest way to be at \a cut before \a engine goes on; the cut is ranked.
-    Step arrive(std::size_t cut, std::size_t engine) const
+    /// The cheapest partial path to \a boundary that \a engine can continue. Needs
+    /// findCheapest() for this boundary.
+    PartialPath cheapestBefore(std::size_t boundary, std::size_t engine) const
     {
-        Step best;
-        if (cut == 0) {
+        PartialPath best;
+        if (boundary == 0) {
             best.cost = 0;
             return best;
         }
-        for (std::size_t domain = 0; domain < m_arrivals.size(); ++domain) {
-            const Arrivals &from = m_arrivals[domain];
-            Step step = from.first.candidate == engine ? from.second : from.first;
-            step.cost += m_hopCost + m_crossings.cost(domain, m_candidates[engine].domain);
-            if (step.cost < best.cost)
-                best = step;
+        for (std::size_t domain = 0; domain < m_cheapest.size(); ++domain) {
+            const CheapestTwo &from = m_cheapest[domain];
+            PartialPath partial = from.first.candidate == engine ? from.second : from.first;
+            partial.cost += m_hopCost + m_crossingCosts.cost(domain, m_candidates[engine].domain);
+            if (partial.cost < best.cost)
+                best = partial;
         }
         return best;
     }
 
-    void extend(std::size_t cut, std::size_t engine, bool whole)
+    void extend(std::size_t boundary, std::size_t engine, bool fullRanges)
     {
         const Candidate &each = m_candidates[engine];
         const LayerRange held = each.endpoint->layers;
-        if (m_cuts[cut] < held.begin || m_cuts[cut] >= held.end)
+        if (m_boundaries[boundary] < held.begin || m_boundaries[boundary] >= held.end)
             return;
-        if (cut == 0 && (!each.mayBegin || (m_first && each.endpoint->id != m_first->endpoint)))
+        if (boundary == 0
+            && (!each.mayBegin || (m_firstPart && each.endpoint->id != m_firstPart->endpoint)))
             return;
-        const Step before = arrive(cut, engine);
+        const PartialPath before = cheapestBefore(boundary, engine);
         if (before.cost == NoCost)
             return;
-        for (std::size_t to = cut + 1; to < m_cuts.size() && m_cuts[to] <= held.end; ++to) {
-            const bool fixed = m_first && cut == 0;
-            if (fixed ? m_cuts[to] != m_first->layers.end
-                      : whole && m_cuts[to] != std::min(held.end, m_model.layers))
+        for (std::size_t to = boundary + 1;
+             to < m_boundaries.size() && m_boundaries[to] <= held.end; ++to) {
+            const bool fixed = m_firstPart && boundary == 0;
+            if (fixed ? m_boundaries[to] != m_firstPart->layers.end
+                      : fullRanges && m_boundaries[to] != std::min(held.end, m_model.layers))
                 continue;
-            const double layers = m_cuts[to] - m_cuts[cut];
+            const double layers = m_boundaries[to] - m_boundaries[boundary];
             const double cost = before.cost + each.factor * partCost(layers, each);
-            Step &step = m_table[to * m_candidates.size() + engine];
-            if (cost < step.cost)
-                step = {cost, cut, before.candidate};
+            PartialPath &partial = m_table[to * m_candidates.size() + engine];
+            if (cost < partial.cost)
+                partial = {cost, boundary, before.candidate};
         }
     }
 
-    /// Engines' times count by their root, see PathSettings::referenceMs.
+    /// Costs grow with the square root of the time, see PathSettings::referenceMs.
     double partCost(double layers, const Candidate &candidate) const
     {
-        const double wholeMs =
+        const double modelMs =
             m_model.layers * (2 * candidate.prefillMs + m_passes * candidate.passMs);
-        return layers / m_model.layers * std::sqrt(wholeMs * m_referenceMs);
+        return layers / m_model.layers * std::sqrt(modelMs * m_referenceMs);
     }
 
-    double finish()
+    double findLastEngine()
     {
         const std::size_t engines = m_candidates.size();
-        const std::size_t end = (m_cuts.size() - 1) * engines;
+        const std::size_t end = (m_boundaries.size() - 1) * engines;
         double best = NoCost;
         for (std::size_t engine = 0; engine < engines; ++engine)
             if (m_table[end + engine].cost < best) {
@@ -226,20 +234,20 @@
 
     std::vector<Candidate> m_candidates;
     const LayeredModel &m_model;
-    const PathPart *m_first;
+    const PathPart *m_firstPart;
     double m_passes;
     double m_hopCost;
     double m_referenceMs;
-    const Crossings &m_crossings;
-    std::vector<std::uint32_t> m_cuts;
-    std::vector<Step> m_table;
-    std::vector<Arrivals> m_arrivals; ///< by domain, at the present cut
+    const CrossingCosts &m_crossingCosts;
+    std::vector<std::uint32_t> m_boundaries;
+    std::vector<PartialPath> m_table;
+    std::vector<CheapestTwo> m_cheapest; ///< by domain, at the current boundary
     std::size_t m_last = 0;
 };
 
-/// The engines that may be used now, with their times under the work on them.
+/// Returns the usable engines with their times under the current load.
 std::vector<Candidate> candidates(const FleetSnapshot &fleet, const RoutedService &service,
-                                  const EngineTracker &book, const PathQuery &query, Time now,
+                                  const EngineTracker &tracker, const PathQuery &query, Time now,
                                   const PathSettings &settings)
 {
     const LayeredModel &model = *service.model;
@@ -247,38 +255,40 @@
     for (const FleetEndpoint &each : fleet.endpoints) {
         const AcceleratorKind *kind = model.kind(each.kind);
         if (each.service != service.name || each.draining || !kind
-            || each.layers.end <= each.layers.begin || !book.usable(each.id, now))
+            || each.layers.end <= each.layers.begin || !tracker.usable(each.id, now))
             continue;
-        if (query.without && query.without->contains(each.id))
+        if (query.excluded && query.excluded->contains(each.id))
             continue;
-        const EngineEstimate *belief = book.find(each.id);
-        const EngineLoad load = book.load(each.id, each.domain, now);
-        const double streams = 1 + load.streams;
-        const double pace = kind->pace * (belief && now < belief->slowdownUntil ? belief->pace : 1);
+        const EngineEstimate *estimate = tracker.find(each.id);
+        const EngineLoad load = tracker.load(each.id, each.domain, now);
+        const double requests = 1 + load.requests;
+        const double stepFactor =
+            kind->pace * (estimate && now < estimate->slowdownUntil ? estimate->slowdown : 1);
         const double context = (model.typicalPromptTokens + model.typicalAnswerTokens / 2.0) / 1000;
-        const double step =
-            model.stepMs + streams * (model.perSequenceMs + context * model.contextMsPer1kTokens);
+        const double stepMs =
+            model.stepMs + requests * (model.perSequenceMs + context * model.contextMsPer1kTokens);
         const std::uint32_t held = each.layers.length();
         const double need = static_cast<double>(query.promptTokens + query.answerTokens) * held;
-        const double room = std::max(1.0, model.room(*kind, held));
+        const double capacity = std::max(1.0, model.room(*kind, held));
         Candidate candidate;
         candidate.endpoint = &each;
         candidate.mayBegin = !query.excludedAsFirst || !query.excludedAsFirst->contains(each.id);
-        // What runs goes on growing; what waits takes its place first.
+        // Running requests still need memory for the rest of their answers, and queued ones
+        // get theirs before this request.
         const double growth =
             load.reported
-                ? (load.streams * model.typicalAnswerTokens / 2
+                ? (load.requests * model.typicalAnswerTokens / 2
                    + load.queued * (model.typicalPromptTokens + model.typicalAnswerTokens))
                       * held
                 : 0;
-        candidate.fullness = (load.used + growth + need) / room;
+        candidate.fullness = (load.used + growth + need) / capacity;
         candidate.full = candidate.fullness > (load.reported ? settings.maxReportedFullness
                                                              : settings.maxEstimatedFullness);
         candidate.prefillMs = model.prefillMs(*kind, query.promptTokens, 1);
-        candidate.passMs = model.tokensPerPass * step * pace / model.layers;
+        candidate.passMs = model.tokensPerPass * stepMs * stepFactor / model.layers;
         candidate.factor =
             1 + settings.fullnessWeight * std::pow(std::min(candidate.fullness, 3.0), 4)
-            + 2 * book.failureShare(each.id, now);
+            + 2 * tracker.failureShare(each.id, now);
         found.push_back(candidate);
     }
     return found;
@@ -291,7 +301,7 @@
 {
 }
 
-double PathChooser::spread(double instances) const
+double PathChooser::costNoise(double instances) const
 {
     return std::min(m_settings.maxCostNoise,
                     m_settings.costNoisePerRoot * std::sqrt(std::max(1.0, instances)));
@@ -299,7 +309,7 @@
 
 std::optional<EnginePath> PathChooser::choose(const FleetSnapshot &fleet,
                                               const RoutedService &service,
-                                              const EngineTracker &book, const PathQuery &query,
+                                              const EngineTracker &tracker, const PathQuery &query,
                                               Time now, std::mt19937_64 &random) const
 {
     const LayeredModel &model = *service.model;
@@ -307,50 +317,52 @@
         std::max(1.0, static_cast<double>(query.answerTokens) / std::max(1U, model.tokensPerPass));
     const double hopCost = m_settings.hopMs * passes;
     std::lognormal_distribution<double> noise(
-        0, std::max(spread(book.sharingInstances()), query.minCostNoise));
-    std::vector<Candidate> all = candidates(fleet, service, book, query, now, m_settings);
-    for (Candidate &each : all)
+        0, std::max(costNoise(tracker.sharingInstances()), query.minCostNoise));
+    std::vector<Candidate> usable = candidates(fleet, service, tracker, query, now, m_settings);
+    for (Candidate &each : usable)
         each.factor *= noise(random);
 
-    Crossings crossings(all);
-    const double pipeMs = model.crossingMs(query.promptTokens);
-    crossings.fill([&](std::string_view from, std::string_view to) {
-        const double load = book.linkLoad(from, to, now);
+    CrossingCosts crossingCosts(usable);
+    const double transferMs = model.crossingMs(query.promptTokens);
+    crossingCosts.fill([&](std::string_view from, std::string_view to) {
+        const double load = tracker.linkLoad(from, to, now);
         if (load >= m_settings.maxLinkLoad)
             return NoCost;
-        return m_settings.crossingMs + 2 * pipeMs / (1 - load);
+        return m_settings.crossingPenaltyMs + 2 * transferMs / (1 - load);
     });
     std::map<std::string_view, std::vector<Candidate>> domains;
-    for (const Candidate &each : all)
+    for (const Candidate &each : usable)
         domains[each.endpoint->domain].push_back(each);
     std::optional<Search> best;
     double bestCost = NoCost;
-    const auto attempt = [&](std::vector<Candidate> engines, double factor, double added) {
-        Search search(std::move(engines), model, query.first, passes, hopCost,
-                      m_settings.referenceMs, crossings);
+    const auto searchAmong = [&](std::vector<Candidate> engines, double factor, double penalty) {
+        Search search(std::move(engines), model, query.firstPart, passes, hopCost,
+                      m_settings.referenceMs, crossingCosts);
         double cost = search.run(false);
         if (cost != NoCost && search.parts().empty())
             cost = search.run(true);
-        if (cost == NoCost || search.parts().empty() || cost * factor + added >= bestCost)
+        if (cost == NoCost || search.parts().empty() || cost * factor + penalty >= bestCost)
             return;
-        bestCost = cost * factor + added;
+        bestCost = cost * factor + penalty;
         best.emplace(std::move(search));
     };
-    if (const auto own = domains.find(query.domain); own != domains.end()) {
-        attempt(std::move(own->second), 1, 0);
-        domains.erase(own);
+    if (const auto ownDomain = domains.find(query.domain); ownDomain != domains.end()) {
+        searchAmong(std::move(ownDomain->second), 1, 0);
+        domains.erase(ownDomain);
     }
     const bool ownFound = best.has_value();
     for (auto &[domain, engines] : domains)
-        attempt(std::move(engines), m_settings.otherDomainFactor, m_settings.otherDomainPenaltyMs);
-    // Parts in several domains: a path through most of the own domain loads the
-    // others less than one that lies in another domain altogether.
+        searchAmong(std::move(engines), m_settings.otherDomainFactor,
+                    m_settings.otherDomainPenaltyMs);
+    // Paths through several domains: one that mostly stays in the own domain puts less load on
+    // the others than a path that lies entirely in another domain.
     if (!ownFound)
-        attempt(all, 1, 0);
-    // Rather a full pipe than no service.
+        searchAmong(usable, 1, 0);
+    // A path over a busy link is better than none.
     if (!best) {
-        crossings.fill([&](std::string_view, std::string_view) { return m_settings.crossingMs; });
-        attempt(std::move(all), 1, 0);
+        crossingCosts.fill(
+            [&](std::string_view, std::string_view) { return m_settings.crossingPenaltyMs; });
+        searchAmong(std::move(usable), 1, 0);
     }
     if (!best)
         return std::nullopt;
--- a/src/libbalsamloft/pathchooser_test.cpp
+++ b/src/libbalsamloft/pathchooser_test.cpp
@@ -23,29 +23,29 @@
     return endpoint;
 }
 
-struct Choice
+struct ChooserHarness
 {
     FleetSnapshot fleet;
     RoutedService service {"model", 0, testModel(Layers)};
-    EngineTracker book;
+    EngineTracker tracker;
     std::mt19937_64 random {7};
     PathQuery query {"near", 100, 50, nullptr};
 
     std::optional<EnginePath> operator()()
     {
-        return PathChooser().choose(fleet, service, book, query, Now, random);
+        return PathChooser().choose(fleet, service, tracker, query, Now, random);
     }
 };
 
 } // namespace
 
-// The rule that outranks all others: for each token each layer once, in order.
-TEST_CASE("every path over random engines runs each layer once, in order, each engine once")
+// A wrong sequence of layers gives wrong tokens, so this holds for every path.
+TEST_CASE("paths over random engines run each layer once, in order, and no engine twice")
 {
     std::mt19937_64 random(20261202);
     std::size_t found = 0;
     for (int round = 0; round < 2000; ++round) {
-        Choice choice;
+        ChooserHarness chooser;
         const auto count = 6 + random() % 30;
         for (std::uint64_t i = 0; i < count; ++i) {
             const auto begin = static_cast<std::uint32_t>(random() % Layers);
@@ -55,24 +55,24 @@
                        random() % 2 ? "fast" : "slow");
             each.draining = random() % 6 == 0;
             if (random() % 6 == 0)
-                choice.book.suspect(each.id, Now);
-            choice.fleet.endpoints.push_back(each);
+                chooser.tracker.suspect(each.id, Now);
+            chooser.fleet.endpoints.push_back(each);
         }
-        const auto path = choice();
+        const auto path = chooser();
         if (!path)
             continue;
         found += 1;
         std::uint32_t next = 0;
         std::set<std::string> seen;
         for (const PathPart &part : path->parts) {
-            const FleetEndpoint *each = choice.fleet.find(part.endpoint);
+            const FleetEndpoint *each = chooser.fleet.find(part.endpoint);
             REQUIRE(each);
             REQUIRE(part.layers.begin == next);
             REQUIRE(part.layers.end > part.layers.begin);
             REQUIRE(each->layers.begin <= part.layers.begin);
             REQUIRE(each->layers.end >= part.layers.end);
             REQUIRE_FALSE(each->draining);
-            REQUIRE_FALSE(choice.book.suspected(each->id, Now));
+            REQUIRE_FALSE(chooser.tracker.suspected(each->id, Now));
             REQUIRE(seen.insert(part.endpoint).second);
             next = part.layers.end;
         }
@@ -81,54 +81,54 @@
     CHECK(found > 500);
 }
 
-TEST_CASE("a path stays inside a domain where one covers the layers")
+TEST_CASE("a path stays inside one domain if that domain holds all layers")
 {
-    Choice choice;
-    choice.fleet.endpoints = {engine("1", {0, 12}, "near", "slow"),
-                              engine("2", {12, 24}, "near", "slow"), engine("3", {0, 12}, "far"),
-                              engine("4", {12, 24}, "far")};
+    ChooserHarness chooser;
+    chooser.fleet.endpoints = {engine("1", {0, 12}, "near", "slow"),
+                               engine("2", {12, 24}, "near", "slow"), engine("3", {0, 12}, "far"),
+                               engine("4", {12, 24}, "far")};
     for (int i = 0; i < 50; ++i) {
-        const auto path = choice();
+        const auto path = chooser();
         REQUIRE(path);
-        REQUIRE(choice.fleet.find(path->parts[0].endpoint)->domain
-                == choice.fleet.find(path->parts[1].endpoint)->domain);
+        REQUIRE(chooser.fleet.find(path->parts[0].endpoint)->domain
+                == chooser.fleet.find(path->parts[1].endpoint)->domain);
     }
-    choice.fleet.endpoints.erase(choice.fleet.endpoints.begin());
-    choice.fleet.endpoints.pop_back();
-    CHECK(choice()); // rather across domains than not at all
+    chooser.fleet.endpoints.erase(chooser.fleet.endpoints.begin());
+    chooser.fleet.endpoints.pop_back();
+    CHECK(chooser()); // a path through both domains is better than none
 }
 
-TEST_CASE("a full engine is passed by while another has room")
+TEST_CASE("a full engine is not chosen while another one has free KV memory")
 {
-    Choice choice;
-    choice.fleet.endpoints = {engine("1", {0, 24}, "near"), engine("2", {0, 24}, "near")};
-    const double room = choice.service.model->room(choice.service.model->kinds[0], 24);
-    choice.book.reported({"1", room, 50, 5, 1, false, Now}, Now);
-    choice.book.reported({"2", 0, 0, 0, 1, false, Now}, Now);
+    ChooserHarness chooser;
+    chooser.fleet.endpoints = {engine("1", {0, 24}, "near"), engine("2", {0, 24}, "near")};
+    const double capacity = chooser.service.model->room(chooser.service.model->kinds[0], 24);
+    chooser.tracker.reported({"1", capacity, 50, 5, 1, false, Now}, Now);
+    chooser.tracker.reported({"2", 0, 0, 0, 1, false, Now}, Now);
     for (int i = 0; i < 20; ++i)
-        CHECK(choice()->parts.front().endpoint == "2");
+        CHECK(chooser()->parts.front().endpoint == "2");
 }
 
-TEST_CASE("an engine that says it is slow is passed by")
+TEST_CASE("an engine that reports a slowdown is not chosen while another one is fast")
 {
-    Choice choice;
-    choice.fleet.endpoints = {engine("1", {0, 24}, "near"), engine("2", {0, 24}, "near")};
-    choice.book.setSlowdown("1", 5, Now);
+    ChooserHarness chooser;
+    chooser.fleet.endpoints = {engine("1", {0, 24}, "near"), engine("2", {0, 24}, "near")};
+    chooser.tracker.setSlowdown("1", 5, Now);
     for (int i = 0; i < 20; ++i)
-        CHECK(choice()->parts.front().endpoint == "2");
+        CHECK(chooser()->parts.front().endpoint == "2");
 }
 
-// An engine dies that alone held its layers in the domain. Callers there borrow
-// them from the next domain: their own engines go on serving, and the other
-// domain does not get all of their requests.
-TEST_CASE("a domain that lacks layers borrows them from another one")
+// The only holder of some layers in a domain crashes. Paths there use these layers of another
+// domain, so that the domain's own engines stay in use and the other domain does not get all
+// of its requests.
+TEST_CASE("a path runs layers that its domain lacks in another domain")
 {
-    Choice choice;
-    choice.service.model->activationBytes = 30'000;
-    choice.service.model->linkBytesPerMs = 1'000'000;
-    choice.fleet.endpoints = {engine("1", {0, 12}, "near"), engine("2", {16, 24}, "near"),
-                              engine("3", {0, 24}, "far", "slow")};
-    const auto path = choice();
+    ChooserHarness chooser;
+    chooser.service.model->activationBytes = 30'000;
+    chooser.service.model->linkBytesPerMs = 1'000'000;
+    chooser.fleet.endpoints = {engine("1", {0, 12}, "near"), engine("2", {16, 24}, "near"),
+                               engine("3", {0, 24}, "far", "slow")};
+    const auto path = chooser();
     REQUIRE(path);
     REQUIRE(path->parts.size() == 3);
     CHECK(path->parts[0].endpoint == "1");
@@ -136,22 +136,22 @@
     CHECK(path->parts[2].endpoint == "2");
 }
 
-// All callers of a domain that lacks layers borrow them at once. Prompts go
-// through the pipe one after another, so beyond a share of its time they would
-// wait for each other for seconds; the rest go to the other domain as a whole.
-TEST_CASE("a pipe that is half in use takes no more paths while others exist")
+// All paths of a domain that lacks layers would cross the same link. Prompts pass it one after
+// another and would wait for each other for seconds, so beyond a given utilization further
+// requests run entirely in the other domain.
+TEST_CASE("a link at half utilization gets no new paths while there are others")
 {
-    Choice choice;
-    choice.service.model->activationBytes = 30'000;
-    choice.service.model->linkBytesPerMs = 1'000'000;
-    choice.book.setInstances(4);
-    choice.fleet.endpoints = {engine("1", {0, 12}, "near"), engine("2", {16, 24}, "near"),
-                              engine("3", {0, 24}, "far", "slow")};
-    CHECK(choice()->parts.size() == 3);
-    choice.book.recordTransfer("near", "far", 200, Now);
-    CHECK(choice.book.linkLoad("far", "near", Now) > 0.5);
-    CHECK(choice()->parts.size() == 1);
-    choice.fleet.endpoints.back() = engine("3", {10, 18}, "far", "slow");
-    CHECK(choice()); // rather a full pipe than no service
-    CHECK(choice.book.linkLoad("near", "far", Now + std::chrono::seconds(5)) < 0.05);
+    ChooserHarness chooser;
+    chooser.service.model->activationBytes = 30'000;
+    chooser.service.model->linkBytesPerMs = 1'000'000;
+    chooser.tracker.setInstances(4);
+    chooser.fleet.endpoints = {engine("1", {0, 12}, "near"), engine("2", {16, 24}, "near"),
+                               engine("3", {0, 24}, "far", "slow")};
+    CHECK(chooser()->parts.size() == 3);
+    chooser.tracker.recordTransfer("near", "far", 200, Now);
+    CHECK(chooser.tracker.linkLoad("far", "near", Now) > 0.5);
+    CHECK(chooser()->parts.size() == 1);
+    chooser.fleet.endpoints.back() = engine("3", {10, 18}, "far", "slow");
+    CHECK(chooser()); // a path over a busy link is better than none
+    CHECK(chooser.tracker.linkLoad("near", "far", Now + std::chrono::seconds(5)) < 0.05);
 }
--- a/src/libbalsamloft/placement.cpp
+++ b/src/libbalsamloft/placement.cpp
@@ -16,7 +16,7 @@
     return it == engines.end() ? nullptr : &*it;
 }
 
-/// Most layers of \a model that fit the engine's memory.
+/// Number of layers of \a model that fit the engine's memory.
 std::uint32_t layersThatFit(const PlacementModel &model, const PlacementEngine &engine)
 {
     if (model.weightGigabytes <= 0)
@@ -38,8 +38,8 @@
                        std::string_view replica)
 {
     std::vector<std::uint32_t> counts(engines.size(), 0);
-    // One layer at a time to the engine whose stage would then be fastest:
-    // the slowest stage ends up as fast as the memories allow.
+    // Each layer goes to the engine whose stage is fastest with it. The slowest stage then is
+    // as fast as the engines' memory permits.
     for (std::uint32_t layer = 0; layer < model.layers; ++layer) {
         std::size_t best = engines.size();
         for (std::size_t i = 0; i < engines.size(); ++i) {
@@ -68,8 +68,8 @@
     return parts;
 }
 
-double Placement::rateOf(const Replica &replica, std::span<const PlacementEngine> engines,
-                         std::uint32_t layers) const
+double Placement::tokenRate(const Replica &replica, std::span<const PlacementEngine> engines,
+                            std::uint32_t layers) const
 {
     double slowest = 0; // share of the layers, divided by the speed
     for (const Assignment &part : replica.parts) {
@@ -94,7 +94,8 @@
         replica.name = part.replica;
         replica.parts.push_back(part);
         const PlacementEngine *engine = findEngine(engines, part.engine);
-        replica.whole = replica.whole && engine && engine->usable && part.version == model.version;
+        replica.complete =
+            replica.complete && engine && engine->usable && part.version == model.version;
     }
     std::vector<Replica> replicas;
     for (auto &[name, replica] : byName) {
@@ -103,28 +104,30 @@
         std::uint32_t covered = 0;
         for (const Assignment &part : replica.parts)
             covered = part.layers.begin == covered ? part.layers.end : covered;
-        replica.whole = replica.whole && covered == model.layers;
-        replica.rate = rateOf(replica, engines, model.layers);
+        replica.complete = replica.complete && covered == model.layers;
+        replica.rate = tokenRate(replica, engines, model.layers);
         replicas.push_back(std::move(replica));
     }
     return replicas;
 }
 
-std::optional<PlacementStep> Placement::grow(const PlacementModel &model,
-                                             std::vector<PlacementEngine> &free, std::string reason)
+std::optional<PlacementStep> Placement::addReplica(const PlacementModel &model,
+                                                   std::vector<PlacementEngine> &freeEngines,
+                                                   std::string reason)
 {
-    // The fastest engines first, and as few as hold the model: each further
-    // stage adds a hop to every token.
-    std::sort(free.begin(), free.end(), [](const PlacementEngine &a, const PlacementEngine &b) {
-        return std::pair(-a.speed, a.name) < std::pair(-b.speed, b.name);
-    });
+    // Use the fastest engines, and as few as hold the model, because each stage adds a hop to
+    // every token.
+    std::sort(freeEngines.begin(), freeEngines.end(),
+              [](const PlacementEngine &a, const PlacementEngine &b) {
+                  return std::pair(-a.speed, a.name) < std::pair(-b.speed, b.name);
+              });
     const std::string replica = model.name + "#" + std::to_string(m_nextReplica);
-    for (std::size_t count = 1; count <= free.size(); ++count) {
-        auto parts = splitLayers(model, std::span(free).first(count), replica);
+    for (std::size_t count = 1; count <= freeEngines.size(); ++count) {
+        auto parts = splitLayers(model, std::span(freeEngines).first(count), replica);
         if (!parts)
             continue;
         ++m_nextReplica;
-        std::erase_if(free, [&](const PlacementEngine &engine) {
+        std::erase_if(freeEngines, [&](const PlacementEngine &engine) {
             return std::any_of(parts->begin(), parts->end(),
                                [&](const Assignment &part) { return part.engine == engine.name; });
         });
@@ -133,7 +136,7 @@
     return std::nullopt;
 }
 
-PlacementStep Placement::shrink(const Replica &replica, std::string reason)
+PlacementStep Placement::removeReplica(const Replica &replica, std::string reason)
 {
     PlacementStep step;
     step.reason = std::move(reason);
@@ -147,79 +150,81 @@
                                            std::span<const Assignment> current,
                                            std::uint32_t loading, Time now)
 {
-    std::vector<PlacementEngine> free;
+    std::vector<PlacementEngine> freeEngines;
     for (const PlacementEngine &engine : engines) {
         const bool taken = std::any_of(current.begin(), current.end(), [&](const Assignment &part) {
             return part.engine == engine.name && !part.model.empty();
         });
         if (engine.usable && !taken)
-            free.push_back(engine);
+            freeEngines.push_back(engine);
     }
     std::vector<PlacementStep> steps;
-    // The most wanted first: at a rush the last free engines go to it.
-    std::vector<const PlacementModel *> order;
+    // Models with the highest demand get the free engines first.
+    std::vector<const PlacementModel *> byDemand;
     for (const PlacementModel &model : models)
-        order.push_back(&model);
-    std::stable_sort(order.begin(), order.end(),
+        byDemand.push_back(&model);
+    std::stable_sort(byDemand.begin(), byDemand.end(),
                      [](const auto *a, const auto *b) { return a->demand > b->demand; });
-    for (const PlacementModel *model : order) {
+    for (const PlacementModel *model : byDemand) {
         ModelState &state = m_states[model->name];
         const auto replicas = replicasOf(*model, engines, current);
-        std::vector<const Replica *> whole;
-        const Replica *broken = nullptr;
+        std::vector<const Replica *> complete;
+        const Replica *incomplete = nullptr;
         double rate = 0;
         for (const Replica &replica : replicas) {
-            if (!replica.whole) {
-                broken = &replica;
+            if (!replica.complete) {
+                incomplete = &replica;
                 continue;
             }
-            whole.push_back(&replica);
+            complete.push_back(&replica);
             rate += replica.rate;
         }
         if (model->demand > 0)
             state.idleSince.reset();
         else if (!state.idleSince)
             state.idleSince = now;
-        const bool low = whole.size() > 1 && model->demand < m_settings.scaleDownBelow * rate;
-        if (!low)
+        const bool lowDemand =
+            complete.size() > 1 && model->demand < m_settings.scaleDownBelow * rate;
+        if (!lowDemand)
             state.lowSince.reset();
         else if (!state.lowSince)
             state.lowSince = now;
 
         const bool zeroAllowed = model->scaleToZero && state.idleSince
                                  && now - *state.idleSince >= m_settings.scaleToZeroDelay;
-        const bool neverWanted = model->scaleToZero && model->demand <= 0;
-        if (broken && (!whole.empty() || zeroAllowed || free.empty())) {
-            // Never the last one that works, but a broken one holds engines
-            // that could do something.
-            steps.push_back(shrink(*broken, model->name + ": a replica is not whole any more"));
-        } else if (whole.empty() && !neverWanted) {
+        const bool noneNeeded = model->scaleToZero && model->demand <= 0;
+        if (incomplete && (!complete.empty() || zeroAllowed || freeEngines.empty())) {
+            // An incomplete replica keeps engines from other use. It is removed only while a
+            // complete one exists, the model may have none, or no engine is free.
+            steps.push_back(removeReplica(*incomplete, model->name + ": a replica is incomplete"));
+        } else if (complete.empty() && !noneNeeded) {
             if (loading < m_settings.maxConcurrentLoads) {
-                if (auto step = grow(*model, free, model->name + ": no replica yet")) {
+                if (auto step = addReplica(*model, freeEngines, model->name + ": no replica yet")) {
                     steps.push_back(std::move(*step));
                     ++loading;
                 }
             }
-        } else if (!whole.empty() && model->demand > m_settings.scaleUpAbove * rate) {
+        } else if (!complete.empty() && model->demand > m_settings.scaleUpAbove * rate) {
             if (loading < m_settings.maxConcurrentLoads) {
                 if (auto step =
-                        grow(*model, free, model->name + ": demand is near the rate held")) {
+                        addReplica(*model, freeEngines,
+                                   model->name + ": demand is close to the replicas' token rate")) {
                     steps.push_back(std::move(*step));
                     ++loading;
                 }
             }
-        } else if (low && now - *state.lowSince >= m_settings.scaleDownDelay) {
+        } else if (lowDemand && now - *state.lowSince >= m_settings.scaleDownDelay) {
             const Replica *slowest = *std::min_element(
-                whole.begin(), whole.end(),
+                complete.begin(), complete.end(),
                 [](const Replica *a, const Replica *b) { return a->rate < b->rate; });
-            // One at a time, and only if the rest is then not itself short:
-            // otherwise the next plan would load it again.
+            // Remove one replica at a time, and only if the others have enough capacity.
+            // Otherwise the next plan would load it again.
             if (model->demand < m_settings.scaleUpAbove * (rate - slowest->rate)) {
-                steps.push_back(shrink(*slowest, model->name + ": demand has been low"));
+                steps.push_back(removeReplica(*slowest, model->name + ": demand has been low"));
                 state.lowSince = now;
             }
-        } else if (whole.size() == 1 && zeroAllowed) {
-            steps.push_back(shrink(*whole.front(), model->name + ": idle"));
+        } else if (complete.size() == 1 && zeroAllowed) {
+            steps.push_back(removeReplica(*complete.front(), model->name + ": idle"));
         }
     }
     return steps;
--- a/src/libbalsamloft/placement_test.cpp
+++ b/src/libbalsamloft/placement_test.cpp
@@ -29,8 +29,8 @@
     return engines;
 }
 
-/// Engines that do at once what the plan says.
-struct World
+/// Engines that carry out each planned step at once.
+struct PlacementSimulation
 {
     Placement placement;
     std::vector<PlacementEngine> engines = mixedEngines();
@@ -67,7 +67,8 @@
 
 } // namespace
 
-TEST_CASE("layers are split by speed within memory, without gap or overlap", "[placement]")
+TEST_CASE("layers are split in proportion to speed within memory, without gap or overlap",
+          "[placement]")
 {
     const std::vector<PlacementEngine> engines {{"big", 48, 2}, {"small", 24, 1}};
     const auto parts = Placement::splitLayers(model("m", 0), engines, "r");
@@ -75,70 +76,70 @@
     REQUIRE(parts->size() == 2);
     CHECK((*parts)[0].layers == LayerRange {0, 32});
     CHECK((*parts)[1].layers == LayerRange {32, 48});
-    // 24 GB hold 19 of 48 layers of a 60 GB model: two of them are too few.
+    // 24 GB hold 19 of 48 layers of a 60 GB model, so two such engines are not enough.
     const std::vector<PlacementEngine> tooSmall {{"a", 24, 1}, {"b", 24, 1}};
     CHECK_FALSE(Placement::splitLayers(model("m", 0), tooSmall, "r"));
 }
 
-TEST_CASE("demand grows and shrinks the replicas, and no more than needed", "[placement]")
+TEST_CASE("replicas are added at high demand and removed down to one at low demand", "[placement]")
 {
-    World world;
-    world.step({model("m", 10)}, minutes(0));
-    CHECK(world.replicas("m") == 1);
-    // The days before a deadline.
+    PlacementSimulation simulation;
+    simulation.step({model("m", 10)}, minutes(0));
+    CHECK(simulation.replicas("m") == 1);
+    // Six minutes of high demand.
     for (int i = 1; i < 60; ++i)
-        world.step({model("m", 500)}, minutes(i * 0.1));
-    const std::size_t busy = world.replicas("m");
+        simulation.step({model("m", 500)}, minutes(i * 0.1));
+    const std::size_t busy = simulation.replicas("m");
     CHECK(busy >= 2);
-    // Summer: down to one, slowly, and never to none.
+    // An hour of low demand.
     for (int i = 0; i < 600; ++i)
-        world.step({model("m", 5)}, minutes(10 + i * 0.1));
-    CHECK(world.replicas("m") == 1);
+        simulation.step({model("m", 5)}, minutes(10 + i * 0.1));
+    CHECK(simulation.replicas("m") == 1);
 }
 
-TEST_CASE("load that swings does not flap the engines", "[placement]")
+TEST_CASE("demand that oscillates within the scale-down delay causes no unloads and few loads",
+          "[placement]")
 {
-    // Demand goes up and down within the time that low demand must last:
-    // loads happen once, not at every swing.
-    World world;
+    // Guards against loading and unloading a replica in each period of the demand.
+    PlacementSimulation simulation;
     for (int i = 0; i < 2000; ++i) {
         const double demand = 150 + 120 * std::sin(i * 0.05);
-        world.step({model("m", demand)}, minutes(i * 0.05));
+        simulation.step({model("m", demand)}, minutes(i * 0.05));
     }
-    CHECK(world.unloads == 0);
-    CHECK(world.loads <= 9);
+    CHECK(simulation.unloads == 0);
+    CHECK(simulation.loads <= 9);
 }
 
-TEST_CASE("an idle model goes to zero only where the rules allow it", "[placement]")
+TEST_CASE("an idle model loses its last replica only with scale to zero", "[placement]")
 {
-    World world;
-    world.step({model("keeps", 10), model("may go", 10, true)}, minutes(0));
-    CHECK(world.replicas("may go") == 1);
+    PlacementSimulation simulation;
+    simulation.step({model("keeps", 10), model("may go", 10, true)}, minutes(0));
+    CHECK(simulation.replicas("may go") == 1);
     for (int i = 0; i < 100; ++i)
-        world.step({model("keeps", 0), model("may go", 0, true)}, minutes(1 + i));
-    CHECK(world.replicas("keeps") == 1);
-    CHECK(world.replicas("may go") == 0);
-    world.step({model("keeps", 0), model("may go", 1, true)}, minutes(200));
-    CHECK(world.replicas("may go") == 1);
+        simulation.step({model("keeps", 0), model("may go", 0, true)}, minutes(1 + i));
+    CHECK(simulation.replicas("keeps") == 1);
+    CHECK(simulation.replicas("may go") == 0);
+    simulation.step({model("keeps", 0), model("may go", 1, true)}, minutes(200));
+    CHECK(simulation.replicas("may go") == 1);
 }
 
-TEST_CASE("a lost engine's replica is replaced before it is taken down", "[placement][failure]")
+TEST_CASE("a replica with a lost engine is replaced before it is unloaded", "[placement][failure]")
 {
-    // Callers are served by what is left. The last whole replica is never
-    // unloaded, and a broken one does not keep its engines for ever.
-    World world;
-    world.step({model("m", 10)}, minutes(0));
-    const std::string lost = world.current.front().engine;
-    for (PlacementEngine &engine : world.engines)
+    // Guards against a model without a complete replica, and against an incomplete one that
+    // keeps its engines from other use.
+    PlacementSimulation simulation;
+    simulation.step({model("m", 10)}, minutes(0));
+    const std::string lost = simulation.current.front().engine;
+    for (PlacementEngine &engine : simulation.engines)
         engine.usable = engine.name != lost;
     for (int i = 1; i < 10; ++i)
-        world.step({model("m", 10)}, minutes(i));
-    CHECK(world.replicas("m") == 1);
-    for (const Assignment &assignment : world.current)
+        simulation.step({model("m", 10)}, minutes(i));
+    CHECK(simulation.replicas("m") == 1);
+    for (const Assignment &assignment : simulation.current)
         CHECK(assignment.engine != lost);
 }
 
-TEST_CASE("no more loads at a time than the weight store can take", "[placement]")
+TEST_CASE("no more concurrent loads than the limit are planned", "[placement]")
 {
     Placement placement;
     const auto engines = mixedEngines();
--- a/src/libbalsamloft/placementmanager.cpp
+++ b/src/libbalsamloft/placementmanager.cpp
@@ -47,7 +47,7 @@
     return names;
 }
 
-void PlacementManager::note(const std::string &line)
+void PlacementManager::addNote(const std::string &line)
 {
     if (m_notes.size() >= MaxNotes)
         m_notes.erase(m_notes.begin());
@@ -67,9 +67,9 @@
     m_fencing = lease.fencing;
     if (now - m_plannedAt >= m_settings.planInterval) {
         m_plannedAt = now;
-        startSteps(config, demand, now);
+        planSteps(config, demand, now);
     }
-    assertAll(config, now);
+    updateWantedStates(config, now);
     m_orders.tick(lease.holds, lease.fencing, lease.acquiredAt, now, orders);
     if (m_proposing)
         return;
@@ -79,7 +79,7 @@
     m_proposing = !proposals.empty();
 }
 
-void PlacementManager::startSteps(const Config &config, const DemandFunction &demand, Time now)
+void PlacementManager::planSteps(const Config &config, const DemandFunction &demand, Time now)
 {
     std::vector<PlacementEngine> engines;
     std::vector<Assignment> current;
@@ -88,7 +88,7 @@
             continue;
         const Accelerator *accelerator = config.accelerator(endpoint.accelerator);
         const bool busy =
-            m_unloading.contains(endpoint.name) || m_routedAway.contains(endpoint.name);
+            m_unloading.contains(endpoint.name) || m_unroutedSince.contains(endpoint.name);
         engines.push_back(
             {endpoint.name, accelerator ? accelerator->memoryGigabytes : 0, endpoint.speed, !busy});
         if (!endpoint.model.empty() && !m_unloading.contains(endpoint.name))
@@ -97,8 +97,10 @@
     }
     for (const auto &[replica, loading] : m_loading) {
         for (const Assignment &part : loading.parts) {
-            const auto same = [&](const Assignment &other) { return other.engine == part.engine; };
-            if (std::none_of(current.begin(), current.end(), same))
+            const auto sameEngine = [&](const Assignment &other) {
+                return other.engine == part.engine;
+            };
+            if (std::none_of(current.begin(), current.end(), sameEngine))
                 current.push_back(part);
         }
     }
@@ -108,7 +110,7 @@
                           model.scaleToZero, demand(model.name)});
     const auto steps = m_placement.plan(engines, models, current, m_orders.loading(), now);
     for (const PlacementStep &step : steps) {
-        note(step.reason);
+        addNote(step.reason);
         if (!step.assignments.front().model.empty()) {
             m_loading[step.assignments.front().replica] = {step.assignments, step.reason};
             m_loadsOrdered += step.assignments.size();
@@ -120,7 +122,7 @@
     }
 }
 
-void PlacementManager::assertAll(const Config &config, Time now)
+void PlacementManager::updateWantedStates(const Config &config, Time now)
 {
     std::map<std::string, Assignment> wanted;
     for (const Endpoint &endpoint : config.endpoints()) {
@@ -132,7 +134,7 @@
             assignment = {endpoint.name, {}, {}, {}, {}};
         wanted[endpoint.name] = assignment;
         if (!endpoint.model.empty())
-            m_routedAway.erase(endpoint.name);
+            m_unroutedSince.erase(endpoint.name);
     }
     for (const auto &[replica, loading] : m_loading) {
         for (const Assignment &part : loading.parts)
@@ -140,13 +142,13 @@
     }
     for (const auto &[name, assignment] : wanted) {
         const Endpoint &endpoint = *config.endpoint(name);
-        const auto away = m_routedAway.find(name);
-        // Instances that have not heard yet may still send it work: it keeps
-        // what it holds until the change must be in force everywhere.
-        if (assignment.model.empty() && away != m_routedAway.end()) {
-            if (now - away->second < m_settings.unloadDelay)
+        const auto unrouted = m_unroutedSince.find(name);
+        // Instances that have not received the change may still send requests to the engine.
+        // It keeps its layers until all instances must have applied the change.
+        if (assignment.model.empty() && unrouted != m_unroutedSince.end()) {
+            if (now - unrouted->second < m_settings.unloadDelay)
                 continue;
-            m_routedAway.erase(away);
+            m_unroutedSince.erase(unrouted);
         }
         m_orders.setWanted(assignment, endpoint.checksFencing);
     }
@@ -157,11 +159,12 @@
 {
     for (auto it = m_loading.begin(); it != m_loading.end(); ++it) {
         const std::vector<Assignment> &parts = it->second.parts;
-        const bool inForce = std::all_of(parts.begin(), parts.end(), [&](const Assignment &part) {
-            const auto entry = entries.find(entryPath(part.engine));
-            return entry != entries.end() && entry->second == placementEntry(part);
-        });
-        if (inForce) {
+        const bool inConfiguration =
+            std::all_of(parts.begin(), parts.end(), [&](const Assignment &part) {
+                const auto entry = entries.find(entryPath(part.engine));
+                return entry != entries.end() && entry->second == placementEntry(part);
+            });
+        if (inConfiguration) {
             m_loading.erase(it);
             return;
         }
@@ -190,7 +193,7 @@
     for (auto it = m_unloading.begin(); it != m_unloading.end();) {
         const auto entry = entries.find(entryPath(it->first));
         if (entry == entries.end()) {
-            m_routedAway.try_emplace(it->first, m_plannedAt);
+            m_unroutedSince.try_emplace(it->first, m_plannedAt);
             it = m_unloading.erase(it);
             continue;
         }
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -146,17 +146,17 @@
     query.domain = m_settings.domain;
     query.promptTokens = flight.request.promptTokens;
     query.answerTokens = flight.request.answerTokens;
-    query.without = &without;
-    query.first = flight.trial.state == Trial::State::Granted && flight.trial.first
-                      ? &*flight.trial.first
-                      : nullptr;
+    query.excluded = &without;
+    query.firstPart = flight.trial.state == Trial::State::Granted && flight.trial.first
+                          ? &*flight.trial.first
+                          : nullptr;
     query.minCostNoise = flight.cutEarly ? m_settings.rerouteSpread : 0;
     const std::set<std::string> closed = beyondLimit(flight, now);
     query.excludedAsFirst = &closed;
     auto path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
     if (!path && !without.empty()) {
         // Rather an engine that failed it once than none at all.
-        query.without = nullptr;
+        query.excluded = nullptr;
         path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
     }
     return path;
@@ -195,8 +195,8 @@
     std::uniform_real_distribution<double> noise(0, 0.1);
     double cost = noise(m_random) + 4 * m_book.failureShare(endpoint.id, now);
     if (belief)
-        cost += static_cast<double>(belief->streams) / std::max(1U, endpoint.slots)
-                * m_book.scale(endpoint.domain);
+        cost += static_cast<double>(belief->ownRequests) / std::max(1U, endpoint.slots)
+                * m_book.workRatio(endpoint.domain);
     if (endpoint.domain != m_settings.domain)
         cost += 0.4;
     if (!m_book.usable(endpoint.id, now))
@@ -286,17 +286,19 @@
 void Relay::occupy(const Flight &flight)
 {
     if (flight.path.empty())
-        m_book.started(flight.endpoint, 0, true);
+        m_book.requestStarted(flight.endpoint, 0, true);
     for (const PathPart &part : flight.path)
-        m_book.started(part.endpoint, ownNeed(flight, part), part.endpoint == flight.endpoint);
+        m_book.requestStarted(part.endpoint, ownNeed(flight, part),
+                              part.endpoint == flight.endpoint);
 }
 
 void Relay::vacate(const Flight &flight)
 {
     if (flight.path.empty())
-        m_book.ended(flight.endpoint, 0, true);
+        m_book.requestFinished(flight.endpoint, 0, true);
     for (const PathPart &part : flight.path)
-        m_book.ended(part.endpoint, ownNeed(flight, part), part.endpoint == flight.endpoint);
+        m_book.requestFinished(part.endpoint, ownNeed(flight, part),
+                               part.endpoint == flight.endpoint);
 }
 
 void Relay::release(Flight &flight)
@@ -437,7 +439,7 @@
     Flight *flight = current(id, attempt);
     if (!flight)
         return;
-    m_book.finished(flight->endpoint, true, now);
+    m_book.recordOutcome(flight->endpoint, true, now);
     if (failure != AttemptFailure::NotSent)
         noteBrokenOff(*flight, now, actions);
     switch (failure) {
@@ -459,7 +461,7 @@
                      RelayActions &actions)
 {
     const FleetEndpoint *atFault = head.atAddress.empty() ? m_fleet->find(flight.endpoint)
-                                                          : m_fleet->atAddress(head.atAddress);
+                                                          : m_fleet->findByAddress(head.atAddress);
     const std::string culprit = atFault ? atFault->id : flight.endpoint;
     const bool dead = now - flight.sentAt >= StallRefusal;
     if (dead)
@@ -494,20 +496,20 @@
     m_quarantine.endpointSentData(flight->endpoint, now);
     noteLimit(*flight, head, now);
     if (head.running && !flight->path.empty())
-        m_book.updateScale(flight->endpoint, flight->domain, *head.running);
+        m_book.updateWorkRatio(flight->endpoint, flight->domain, *head.running);
     if (head.notExecuted || head.status == Misdirected) {
         rejected(id, *flight, head, now, actions);
         return false;
     }
     if (!head.provenExecuted) {
-        m_book.finished(flight->endpoint, true, now);
+        m_book.recordOutcome(flight->endpoint, true, now);
         again(id, *flight, true, flight->endpoint, "unsealed answer of " + flight->endpoint, now,
               actions);
         return false;
     }
     const bool failed = head.status >= FirstServerError;
     const bool stream = flight->request.route->kind == RequestKind::Stream;
-    m_book.finished(flight->endpoint, failed, now);
+    m_book.recordOutcome(flight->endpoint, failed, now);
     if (failed && mayRunAgain(*flight) && flight->request.route->maxAttempts > 1
         && flight->sends < flight->request.route->maxAttempts) {
         actions.push_back(AbandonAttempt {id, attempt});
--- a/src/libbalsamloft/relaypath.cpp
+++ b/src/libbalsamloft/relaypath.cpp
@@ -23,7 +23,7 @@
     query.domain = flight.domain;
     query.promptTokens = flight.request.promptTokens;
     query.answerTokens = flight.request.answerTokens;
-    query.first = &first;
+    query.firstPart = &first;
     query.minCostNoise = flight.cutEarly ? m_settings.rerouteSpread : 0;
     auto path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
     if (!path || path->full || path->parts == flight.path)
@@ -52,7 +52,7 @@
         return;
     flight->pathAskedAt.reset();
     if (reply == PathReply::Refused) {
-        if (const FleetEndpoint *culprit = m_fleet->atAddress(atAddress))
+        if (const FleetEndpoint *culprit = m_fleet->findByAddress(atAddress))
             m_book.refusedBusy(culprit->id, now);
         if (changePath(id, *flight, now, actions))
             return;
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -35,7 +35,7 @@
     m_book.recordAnswer(endpoint, now);
     m_book.setSlowdown(endpoint, pace, now);
     for (const std::string &address : stalledAt)
-        if (const FleetEndpoint *found = m_fleet->atAddress(address))
+        if (const FleetEndpoint *found = m_fleet->findByAddress(address))
             m_book.suspect(found->id, now);
     tick(now, actions);
 }
@@ -66,7 +66,7 @@
 void Relay::follow(FleetPtr fleet, Time now, RelayActions &actions)
 {
     m_fleet = std::move(fleet);
-    m_book.follow(*m_fleet);
+    m_book.removeUnlisted(*m_fleet);
     m_limits.follow(*m_fleet);
     std::erase_if(m_askedAt, [&](const auto &each) { return !m_fleet->find(each.first); });
     settleDoubts(now);
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -54,7 +54,7 @@
 {
     FleetTracker keeper;
     keeper.listed({endpoint("a"), endpoint("b")}, Start);
-    keeper.heard(Start + milliseconds(1000));
+    keeper.listConfirmed(Start + milliseconds(1000));
     keeper.dropped("a", Start + milliseconds(1500));
     CHECK(count(keeper) == 1);
 }
@@ -84,7 +84,7 @@
     FleetTracker keeper;
     keeper.listed({endpoint("a"), endpoint("b")}, Start);
     for (int i = 0; i < 12; ++i)
-        keeper.heard(Start + milliseconds(100));
+        keeper.listConfirmed(Start + milliseconds(100));
     keeper.dropped("a", Start + milliseconds(5000));
     CHECK(count(keeper) == 2);
 }
@@ -95,8 +95,8 @@
 {
     FleetTracker keeper;
     keeper.listed({endpoint("a"), endpoint("b")}, Start);
-    keeper.heard(Start + milliseconds(1000));
-    keeper.heard(Start + milliseconds(200));
+    keeper.listConfirmed(Start + milliseconds(1000));
+    keeper.listConfirmed(Start + milliseconds(200));
     keeper.dropped("a", Start + milliseconds(3000));
     CHECK(count(keeper) == 1);
 }
