--- a/src/include/balsamloft/enginefleet.h
+++ b/src/include/balsamloft/enginefleet.h
@@ -114,7 +114,7 @@
     struct Entry
     {
         FleetEndpoint endpoint;
-        std::optional<Time> removeAt; ///< set if it disappeared around an outage
+        std::optional<Time> removeAt; ///< set if it disappeared right after an outage
     };
 
     Duration minOutage() const;
--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -21,8 +21,8 @@
     Duration slowdownLifetime {3'000'000}; ///< a reported slowdown is used this long
     Duration failureHalfLife {3'000'000};
     Duration reportLifetime {2'500'000}; ///< a load report is used this long
-    /// Interval at which engines are queried. If an engine's state is confirmed as unchanged
-    /// after it, the state includes the requests sent before.
+    /// Interval at which engines are queried. A state that is confirmed as unchanged this long
+    /// after a request was sent includes that request.
     Duration reportInterval {1'000'000};
 };
 
--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -24,8 +24,8 @@
     double emptyEngineHeadroom = 0.15; ///< the same for an engine that held no layers
     /// The same for an empty engine that takes more layers than the gap has.
     double beyondGapHeadroom = 0.4;
-    Duration orderLifetime {13'000'000}; ///< an unanswered order may take effect until then
-    Duration refusalBackoff {600'000}; ///< without orders for an engine that refused one
+    Duration orderLifetime {13'000'000}; ///< how long an unanswered order may take effect
+    Duration refusalBackoff {600'000}; ///< how long an engine that refused gets no order
 };
 
 /// Closes coverage gaps of a domain: neighbours of the gap extend their ranges over it, or
--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -36,8 +36,8 @@
     /// path for 9 s.
     Duration replanAfter {6'000'000};
     Duration moveInterval {2'500'000}; ///< between two moves that close no gap
-    Duration orderLifetime {13'000'000}; ///< an unanswered order may take effect until then
-    double minGain = 120; ///< in cost, of a move that closes no gap
+    Duration orderLifetime {13'000'000}; ///< how long an unanswered order may take effect
+    double minGain = 120; ///< least cost reduction of a move that closes no gap
 };
 
 /// Decides which engines hold which layers, based on the layers that they hold now. It
--- a/src/include/balsamloft/orders.h
+++ b/src/include/balsamloft/orders.h
@@ -49,7 +49,7 @@
     /// Sets the wanted state of the engine of \a assignment. \a checksFencing: the engine
     /// refuses orders with an old fencing number.
     void setWanted(Assignment assignment, bool checksFencing);
-    void forget(const std::string &engine);
+    void remove(const std::string &engine);
     void observed(const ObservedEngine &engine);
 
     /// Appends the orders that are due. \a holdsLease, \a fencing and \a acquiredAt are the
@@ -62,7 +62,7 @@
     /// Whether the engine reports the wanted state.
     bool isApplied(const std::string &engine) const;
 
-    /// Number of engines that do not report their wanted model yet.
+    /// Number of engines that are to hold a model and do not report it yet.
     std::uint32_t loading() const;
 
     /// A line for each engine that does not report the wanted state.
--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -53,8 +53,8 @@
     /// times the square root of the number of instances that use the domain's engines. All
     /// of them see the same loads, up to a second old. Without noise, all requests of that
     /// second go to the path that looks best and exceed its memory: with 59 instances in each
-    /// domain and 1.5 times the typical load, engines refused requests 494 times without noise
-    /// and 49 times with it (4,451 requests), and the share on time was 0.85 and 0.98. Few
+    /// domain and 1.5 times the typical load, engines refused 494 times without noise and 49 times
+    /// with it (4,451 requests), and the share of requests on time rose from 0.85 to 0.98. Few
     /// instances observe enough of the load themselves, so they need less noise.
     double costNoisePerRoot = 0.06;
     double maxCostNoise = 0.5; ///< more would choose slow paths needlessly
@@ -66,8 +66,8 @@
     /// requests' value.
     double referenceMs = 800;
     double fullnessWeight = 2; ///< weight of an engine's fullness in its cost
-    double maxReportedFullness = 2; ///< up to which an engine is used, if it reports its load
-    double maxEstimatedFullness = 3; ///< the same if its load is only estimated
+    double maxReportedFullness = 2; ///< beyond it, an engine that reports its load is full
+    double maxEstimatedFullness = 3; ///< the same for an engine whose load is only estimated
 };
 
 /// The request to find a path for.
@@ -79,8 +79,8 @@
     const std::set<std::string> *excluded = nullptr; ///< ids of engines not to be used
     double minCostNoise = 0; ///< lower bound on the noise, see PathSettings::costNoisePerRoot
     const PathPart *firstPart = nullptr; ///< the path must begin with this part; null: any
-    const std::set<std::string> *excludedAsFirst =
-        nullptr; ///< ids of engines that the path may not begin with
+    /// Ids of engines that the path may not begin with.
+    const std::set<std::string> *excludedAsFirst = nullptr;
 };
 
 /// Chooses paths by the expected time of a request. It depends on the step and prefill times of
--- a/src/include/balsamloft/placementmanager.h
+++ b/src/include/balsamloft/placementmanager.h
@@ -14,8 +14,8 @@
 {
     std::string domain;
     Duration planInterval {2'000'000};
-    Duration unloadDelay {
-        15'000'000}; ///< from the removal from the configuration to the order to unload
+    /// From the removal of an engine's entry from the configuration to the order to unload.
+    Duration unloadDelay {15'000'000};
     PlacementSettings placement;
     OrderSettings orders;
 };
@@ -86,9 +86,10 @@
     Placement m_placement;
     OrderManager m_orders;
     std::map<std::string, Loading> m_loading; ///< by replica
-    std::map<std::string, std::string>
-        m_unloading; ///< reason by engine, still in the configuration
-    std::map<std::string, Time> m_unroutedSince; ///< by engine: removal from the configuration
+    /// Reasons by engine, for engines whose entry is still in the configuration.
+    std::map<std::string, std::string> m_unloading;
+    /// By engine: when its entry was removed from the configuration.
+    std::map<std::string, Time> m_unroutedSince;
     std::vector<std::string> m_notes;
     std::uint64_t m_fencing = 0;
     std::uint64_t m_loadsOrdered = 0;
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -25,7 +25,7 @@
 /// Kinds with a larger step factor serve fewer requests with the same KV capacity, because
 /// each request stays longer.
 constexpr double ReferenceStepFactor = 6;
-constexpr int MaxMoves = 12;
+constexpr int MaxMoves = 12; ///< in one call, to close gaps
 /// How long an engine that refused an order gets no other one.
 constexpr Duration RefusalBackoff {1'000'000};
 
@@ -224,6 +224,7 @@
 
 } // namespace
 
+/// Assigns the model's layers to the group's engines regardless of what they hold.
 std::vector<LayerOrder> LayerPlanner::planFromScratch(Group &group, const LayeredModel &model,
                                                       const LayerPlannerSettings &settings,
                                                       std::string_view reason)
@@ -294,6 +295,7 @@
     }
 }
 
+/// Assigns the range that lowers the cost most to each empty engine, largest engines first.
 void LayerPlanner::placeEmptyEngines(Group &group, const LayeredModel &model,
                                      std::vector<LayerOrder> &orders)
 {
@@ -318,6 +320,7 @@
     }
 }
 
+/// Orders the move that lowers the cost most, if it does so by at least \a minGain.
 bool LayerPlanner::makeBestMove(Group &group, const LayeredModel &model, double minGain,
                                 std::vector<LayerOrder> &orders, std::string_view reason)
 {
@@ -392,6 +395,8 @@
     return filling && now - *history.filledSince < m_settings.replanAfter;
 }
 
+/// Closes gaps once their delay is over. Without gaps, orders a move that lowers the cost once
+/// in each moveInterval.
 void LayerPlanner::repair(Group &group, const LayeredModel &model, GroupHistory &history, Time now,
                           std::vector<LayerOrder> &orders)
 {
--- a/src/libbalsamloft/layerplanner_test.cpp
+++ b/src/libbalsamloft/layerplanner_test.cpp
@@ -33,7 +33,7 @@
         fleet.endpoints.push_back(std::move(each));
     }
 
-    /// Runs the planner for \a duration. Engines carry out each order within half a second.
+    /// Runs the planner for \a duration. Engines carry out each order after half a second.
     void run(Duration duration)
     {
         const Time until = now + duration;
@@ -89,9 +89,10 @@
             const std::uint32_t held = each.layers.length();
             if (held == 0)
                 continue;
-            const double room = model.room(*model.kind(each.kind), held) / held;
+            const double capacity = model.room(*model.kind(each.kind), held) / held;
             for (std::uint32_t layer = each.layers.begin; layer < each.layers.end; ++layer)
-                capacities[layer] += room / (model.typicalPromptTokens + model.typicalAnswerTokens);
+                capacities[layer] +=
+                    capacity / (model.typicalPromptTokens + model.typicalAnswerTokens);
         }
         return *std::min_element(capacities.begin(), capacities.end());
     }
@@ -289,11 +290,12 @@
 {
     PlannerSimulation simulation = domainWithTwoLarge();
     const double before = simulation.minRequestCapacity();
-    const FleetEndpoint dead = simulation.engine("large-0");
+    const FleetEndpoint crashed = simulation.engine("large-0");
     simulation.add("back", "a", "large");
-    simulation.engine("back").address = dead.address;
+    simulation.engine("back").address = crashed.address;
     simulation.run(milliseconds(700));
-    std::erase_if(simulation.fleet.endpoints, [&](const auto &each) { return each.id == dead.id; });
+    std::erase_if(simulation.fleet.endpoints,
+                  [&](const auto &each) { return each.id == crashed.id; });
     simulation.run(milliseconds(500));
     CHECK(simulation.minHolders() >= 1);
     CHECK(simulation.minRequestCapacity() >= 0.9 * before);
--- a/src/libbalsamloft/orders.cpp
+++ b/src/libbalsamloft/orders.cpp
@@ -19,7 +19,7 @@
     wanted.sent = false;
 }
 
-void OrderManager::forget(const std::string &engine)
+void OrderManager::remove(const std::string &engine)
 {
     m_wanted.erase(engine);
 }
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -18,9 +18,9 @@
     double prefillMs = 0; ///< of the prompt, per layer
     double passMs = 0; ///< of one pass, which gives one event, per layer
     double factor = 1; ///< on its cost: fullness, failures and noise
-    double fullness = 0;
+    double fullness = 0; ///< KV memory of all requests, this one included, over the capacity
     bool full = false;
-    bool mayBegin = true;
+    bool mayBegin = true; ///< may run the first layers of the path
     std::size_t domain = 0; ///< index in CrossingCosts
 };
 
@@ -89,8 +89,7 @@
     }
 
     /// Returns the cost of the cheapest path, infinite if there is none. With \a fullRanges,
-    /// each engine runs all layers that it holds from its first one on, so that no engine can
-    /// occur twice.
+    /// each part extends to the last layer of its engine, so that no engine can occur twice.
     double run(bool fullRanges)
     {
         const std::size_t engines = m_candidates.size();
@@ -264,9 +263,11 @@
         const double requests = 1 + load.requests;
         const double stepFactor =
             kind->pace * (estimate && now < estimate->slowdownUntil ? estimate->slowdown : 1);
-        const double context = (model.typicalPromptTokens + model.typicalAnswerTokens / 2.0) / 1000;
+        const double contextKTokens =
+            (model.typicalPromptTokens + model.typicalAnswerTokens / 2.0) / 1000;
         const double stepMs =
-            model.stepMs + requests * (model.perSequenceMs + context * model.contextMsPer1kTokens);
+            model.stepMs
+            + requests * (model.perSequenceMs + contextKTokens * model.contextMsPer1kTokens);
         const std::uint32_t held = each.layers.length();
         const double need = static_cast<double>(query.promptTokens + query.answerTokens) * held;
         const double capacity = std::max(1.0, model.room(*kind, held));
