--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -22,8 +22,8 @@
 /// Share of each engine's memory kept for requests if the domain can't hold the model with
 /// more.
 constexpr double FallbackHeadroom = 0.02;
-/// Kinds with a larger step factor serve fewer requests with the same KV capacity, because
-/// each request stays longer.
+/// Kinds with a step factor above this one count as serving fewer requests with the same KV
+/// capacity, because each request stays longer.
 constexpr double ReferenceStepFactor = 6;
 constexpr int MaxMoves = 12; ///< in one call, to close gaps
 /// How long an engine that refused an order gets no other one.
