--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -175,8 +175,9 @@
     }
     m_answer.emplace(std::move(answer));
     const AnswerHead head = answerHead(m_answer->head());
-    addToTrail("answered " + std::to_string(head.status) + (head.notExecuted ? ", not run" : "")
-               + (head.faultyAddress.empty() ? std::string() : " at " + std::string(head.faultyAddress)));
+    addToTrail(
+        "answered " + std::to_string(head.status) + (head.notExecuted ? ", not run" : "")
+        + (head.faultyAddress.empty() ? std::string() : " at " + std::string(head.faultyAddress)));
     m_server.relay().answered(*m_flight, m_attempt, head, now, actions);
     m_server.run(std::move(actions));
 }
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -103,7 +103,7 @@
         polled.state.used = report->usedKv;
         polled.state.active = report->running;
         polled.state.queued = report->queued;
-        polled.state.pace = report->slowdown;
+        polled.state.slowdown = report->slowdown;
         polled.layers = report->layers;
         polled.busy = report->busy;
         polled.answeredAt = polled.state.at;
@@ -171,7 +171,7 @@
 
 void Control::placeLayers(Time now)
 {
-    if (!m_table || !m_fleet.known())
+    if (!m_table || !m_fleet.loaded())
         return;
     for (const RoutedService &service : m_table->services()) {
         if (!service.model)
@@ -217,7 +217,7 @@
 /// The domain reader fills the coverage gaps of its domain, whether or not it holds the lease.
 void Control::fillGaps(Time now)
 {
-    if (m_stopping || !m_table || !m_fleet.known() || !isDomainReader())
+    if (m_stopping || !m_table || !m_fleet.loaded() || !isDomainReader())
         return;
     const auto silent = silentEngines();
     if (!silent)
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -274,7 +274,8 @@
                  {"pace", report->slowdown},
                  {"stalled_at", std::string_view(stalled)}});
     m_relay.endpointAnswered(endpoint, sentAt);
-    m_relay.queryAnswered(endpoint, report->stalledAddresses, report->slowdown, steadyNow(), actions);
+    m_relay.queryAnswered(endpoint, report->stalledAddresses, report->slowdown, steadyNow(),
+                          actions);
     run(std::move(actions));
 }
 
--- a/src/fakes/routerharness.cpp
+++ b/src/fakes/routerharness.cpp
@@ -131,8 +131,8 @@
             perform(router, claimActions);
         } else if (auto *resolve = std::get_if<ResolveClaim>(&action)) {
             ClaimActions claimActions;
-            m_routers[router].claims.resolve({0, resolve->request}, resolve->outcome, resolve->answer,
-                                             m_now, claimActions);
+            m_routers[router].claims.resolve({0, resolve->request}, resolve->outcome,
+                                             resolve->answer, m_now, claimActions);
             perform(router, claimActions);
         }
     }
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -146,17 +146,17 @@
     query.domain = m_settings.domain;
     query.promptTokens = flight.request.promptTokens;
     query.answerTokens = flight.request.answerTokens;
-    query.without = &without;
-    query.first = flight.trial.state == Trial::State::Granted && flight.trial.first
-                      ? &*flight.trial.first
-                      : nullptr;
+    query.excluded = &without;
+    query.firstPart = flight.trial.state == Trial::State::Granted && flight.trial.first
+                          ? &*flight.trial.first
+                          : nullptr;
     query.minCostNoise = flight.failedEarly ? m_settings.rerouteSpread : 0;
     const std::set<std::string> rateLimited = rateLimitedEndpoints(flight, now);
     query.excludedAsFirst = &rateLimited;
     auto path = m_chooser.choose(*m_fleet, service(flight), m_engines, query, now, m_random);
     if (!path && !without.empty()) {
         // An engine where the request failed once is better than none.
-        query.without = nullptr;
+        query.excluded = nullptr;
         path = m_chooser.choose(*m_fleet, service(flight), m_engines, query, now, m_random);
     }
     return path;
@@ -195,8 +195,8 @@
     std::uniform_real_distribution<double> noise(0, 0.1);
     double cost = noise(m_random) + 4 * m_engines.failureShare(endpoint.id, now);
     if (estimate)
-        cost += static_cast<double>(estimate->streams) / std::max(1U, endpoint.slots)
-                * m_engines.scale(endpoint.domain);
+        cost += static_cast<double>(estimate->ownRequests) / std::max(1U, endpoint.slots)
+                * m_engines.workRatio(endpoint.domain);
     if (endpoint.domain != m_settings.domain)
         cost += 0.4;
     if (!m_engines.usable(endpoint.id, now))
@@ -286,18 +286,19 @@
 void Relay::addLoad(const Flight &flight)
 {
     if (flight.path.empty())
-        m_engines.started(flight.endpoint, 0, true);
+        m_engines.requestStarted(flight.endpoint, 0, true);
     for (const PathPart &part : flight.path)
-        m_engines.started(part.endpoint, tokenLayers(flight, part),
-                          part.endpoint == flight.endpoint);
+        m_engines.requestStarted(part.endpoint, tokenLayers(flight, part),
+                                 part.endpoint == flight.endpoint);
 }
 
 void Relay::removeLoad(const Flight &flight)
 {
     if (flight.path.empty())
-        m_engines.ended(flight.endpoint, 0, true);
+        m_engines.requestFinished(flight.endpoint, 0, true);
     for (const PathPart &part : flight.path)
-        m_engines.ended(part.endpoint, tokenLayers(flight, part), part.endpoint == flight.endpoint);
+        m_engines.requestFinished(part.endpoint, tokenLayers(flight, part),
+                                  part.endpoint == flight.endpoint);
 }
 
 void Relay::endAttempt(Flight &flight)
@@ -439,7 +440,7 @@
     Flight *flight = current(id, attempt);
     if (!flight)
         return;
-    m_engines.finished(flight->endpoint, true, now);
+    m_engines.recordOutcome(flight->endpoint, true, now);
     if (failure != AttemptFailure::NotSent)
         recordBroken(*flight, now, actions);
     switch (failure) {
@@ -462,7 +463,7 @@
 {
     const FleetEndpoint *faulty = head.faultyAddress.empty()
                                       ? m_fleet->find(flight.endpoint)
-                                      : m_fleet->atAddress(head.faultyAddress);
+                                      : m_fleet->findByAddress(head.faultyAddress);
     const std::string faultyEndpoint = faulty ? faulty->id : flight.endpoint;
     const bool stalled = now - flight.sentAt >= StalledRejection;
     if (stalled)
@@ -498,20 +499,20 @@
     m_quarantine.endpointSentData(flight->endpoint, now);
     recordRateLimit(*flight, head, now);
     if (head.running && !flight->path.empty())
-        m_engines.updateScale(flight->endpoint, flight->domain, *head.running);
+        m_engines.updateWorkRatio(flight->endpoint, flight->domain, *head.running);
     if (head.notExecuted || head.status == Misdirected) {
         handleRejection(id, *flight, head, now, actions);
         return false;
     }
     if (!head.provenExecuted) {
-        m_engines.finished(flight->endpoint, true, now);
+        m_engines.recordOutcome(flight->endpoint, true, now);
         retry(id, *flight, true, flight->endpoint,
               "answer without proof of execution from " + flight->endpoint, now, actions);
         return false;
     }
     const bool failed = head.status >= FirstServerError;
     const bool stream = flight->request.route->kind == RequestKind::Stream;
-    m_engines.finished(flight->endpoint, failed, now);
+    m_engines.recordOutcome(flight->endpoint, failed, now);
     if (failed && mayRunAgain(*flight) && flight->request.route->maxAttempts > 1
         && flight->sends < flight->request.route->maxAttempts) {
         actions.push_back(AbandonAttempt {id, attempt});
--- a/src/libbalsamloft/relaypath.cpp
+++ b/src/libbalsamloft/relaypath.cpp
@@ -24,7 +24,7 @@
     query.domain = flight.domain;
     query.promptTokens = flight.request.promptTokens;
     query.answerTokens = flight.request.answerTokens;
-    query.first = &first;
+    query.firstPart = &first;
     query.minCostNoise = flight.failedEarly ? m_settings.rerouteSpread : 0;
     auto path = m_chooser.choose(*m_fleet, service(flight), m_engines, query, now, m_random);
     if (!path || path->full || path->parts == flight.path)
@@ -53,7 +53,7 @@
         return;
     flight->pathChangeSentAt.reset();
     if (reply == PathReply::Refused) {
-        if (const FleetEndpoint *faulty = m_fleet->atAddress(faultyAddress))
+        if (const FleetEndpoint *faulty = m_fleet->findByAddress(faultyAddress))
             m_engines.refusedBusy(faulty->id, now);
         if (changePath(id, *flight, now, actions))
             return;
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -35,7 +35,7 @@
     m_engines.recordAnswer(endpoint, now);
     m_engines.setSlowdown(endpoint, slowdown, now);
     for (const std::string &address : stalledAt)
-        if (const FleetEndpoint *found = m_fleet->atAddress(address))
+        if (const FleetEndpoint *found = m_fleet->findByAddress(address))
             m_engines.suspect(found->id, now);
     tick(now, actions);
 }
@@ -66,7 +66,7 @@
 void Relay::setFleet(FleetPtr fleet, Time now, RelayActions &actions)
 {
     m_fleet = std::move(fleet);
-    m_engines.follow(*m_fleet);
+    m_engines.removeUnlisted(*m_fleet);
     m_limits.removeUnlisted(*m_fleet);
     std::erase_if(m_queriedAt, [&](const auto &each) { return !m_fleet->find(each.first); });
     resolveUnconfirmed(now);
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -55,7 +55,7 @@
 {
     FleetTracker tracker;
     tracker.listed({endpoint("a"), endpoint("b")}, Start);
-    tracker.heard(Start + milliseconds(1000));
+    tracker.listConfirmed(Start + milliseconds(1000));
     tracker.dropped("a", Start + milliseconds(1500));
     CHECK(count(tracker) == 1);
 }
@@ -84,7 +84,7 @@
     FleetTracker tracker;
     tracker.listed({endpoint("a"), endpoint("b")}, Start);
     for (int i = 0; i < 12; ++i)
-        tracker.heard(Start + milliseconds(100));
+        tracker.listConfirmed(Start + milliseconds(100));
     tracker.dropped("a", Start + milliseconds(5000));
     CHECK(count(tracker) == 2);
 }
@@ -95,8 +95,8 @@
 {
     FleetTracker tracker;
     tracker.listed({endpoint("a"), endpoint("b")}, Start);
-    tracker.heard(Start + milliseconds(1000));
-    tracker.heard(Start + milliseconds(200));
+    tracker.listConfirmed(Start + milliseconds(1000));
+    tracker.listConfirmed(Start + milliseconds(200));
     tracker.dropped("a", Start + milliseconds(3000));
     CHECK(count(tracker) == 1);
 }
