--- a/src/balsamloftd/settings.cpp
+++ b/src/balsamloftd/settings.cpp
@@ -211,7 +211,7 @@
     settings.server.requestTimeout = millis(FLAGS_request_timeout_ms);
     settings.server.writeTimeout = millis(FLAGS_write_timeout_ms);
     settings.callers.defaultDeadline = millis(FLAGS_default_deadline_ms);
-    settings.callers.longestDeadline = millis(FLAGS_longest_deadline_ms);
+    settings.callers.maxDeadline = millis(FLAGS_longest_deadline_ms);
     settings.callers.defaultMaxTokens = static_cast<std::uint32_t>(FLAGS_default_max_tokens);
     settings.router.domain = FLAGS_domain;
     settings.router.maxQueued = static_cast<std::size_t>(FLAGS_max_queued);
--- a/src/include/balsamloft/callerapi.h
+++ b/src/include/balsamloft/callerapi.h
@@ -14,7 +14,7 @@
 struct CallerLimits
 {
     Duration defaultDeadline {60'000'000};
-    Duration longestDeadline {600'000'000};
+    Duration maxDeadline {600'000'000};
     std::uint32_t defaultMaxTokens = 256;
     std::size_t maxKeyBytes = 256;
 };
--- a/src/libweb/callerapi.cpp
+++ b/src/libweb/callerapi.cpp
@@ -65,7 +65,7 @@
     Duration deadline = limits.defaultDeadline;
     if (const std::string_view text = header(http, "Balsamloft-Deadline-Ms"); !text.empty()) {
         const auto millis = parseNumber(text);
-        const auto longest = limits.longestDeadline.count() / 1000;
+        const auto longest = limits.maxDeadline.count() / 1000;
         if (!millis || *millis < 1 || *millis > longest)
             return invalid("Balsamloft-Deadline-Ms must be a number from 1 to "
                            + std::to_string(longest));
