--- a/src/balsamloft/main.cpp
+++ b/src/balsamloft/main.cpp
@@ -442,9 +442,9 @@
         std::cerr << "balsamloft: " << reason << '\n';
         return ExitUsage;
     }
-    if (parsed->helpWanted || parsed->arguments.empty()) {
+    if (parsed->helpRequested || parsed->arguments.empty()) {
         std::cout << Usage << flagsHelp(ProgramFiles, EnvironmentPrefix);
-        return parsed->helpWanted ? ExitOk : ExitUsage;
+        return parsed->helpRequested ? ExitOk : ExitUsage;
     }
     if (FLAGS_output != "text" && FLAGS_output != "json") {
         std::cerr << "balsamloft: --output: must be text or json\n";
--- a/src/balsamloftd/settings.cpp
+++ b/src/balsamloftd/settings.cpp
@@ -172,7 +172,7 @@
     const auto parsed = parseFlags(argc, argv, EnvironmentPrefix, ProgramFiles, reason);
     if (!parsed)
         return std::nullopt;
-    if (parsed->helpWanted) {
+    if (parsed->helpRequested) {
         std::cout << "balsamloftd: routes requests to the endpoints of the fleet\n\n"
                      "Usage: balsamloftd --name=NAME --domain=DOMAIN --platform=IP:PORT [flags]\n\n"
                   << flagsHelp(ProgramFiles, EnvironmentPrefix);
--- a/src/include/balsamloft/flagsetup.h
+++ b/src/include/balsamloft/flagsetup.h
@@ -15,7 +15,7 @@
 struct ParsedCommandLine
 {
     std::vector<std::string> arguments; ///< that are not flags
-    bool helpWanted = false;
+    bool helpRequested = false;
 };
 
 /// Sets the flags of \a programFiles (ends of source paths) from variables
--- a/src/libweb/flagsetup.cpp
+++ b/src/libweb/flagsetup.cpp
@@ -86,7 +86,7 @@
         if (onlyArguments || !text.starts_with("--") || text == "--") {
             onlyArguments = onlyArguments || text == "--";
             if (text == "-h")
-                result.helpWanted = true;
+                result.helpRequested = true;
             else if (text != "--")
                 result.arguments.emplace_back(text);
             continue;
@@ -96,7 +96,7 @@
         std::string name(text.substr(0, equals));
         std::replace(name.begin(), name.end(), '-', '_');
         if (name == "help") {
-            result.helpWanted = true;
+            result.helpRequested = true;
             continue;
         }
         const auto *flag = findFlag(flags, name);
