--- a/src/balsamloftd/trafficworker.cpp
+++ b/src/balsamloftd/trafficworker.cpp
@@ -452,7 +452,7 @@
             beginStream(waiting);
             waiting.exchange->write(tokenEvent(waiting.id, request.target, answer.body));
         }
-        waiting.exchange->write(endEvents(waiting.id, request.target, reason));
+        waiting.exchange->write(finalEvents(waiting.id, request.target, reason));
         return waiting.exchange->endStream();
     }
     HttpResponse response(static_cast<http::status>(answer.status), 11);
--- a/src/include/balsamloft/callerapi.h
+++ b/src/include/balsamloft/callerapi.h
@@ -54,7 +54,7 @@
 std::string tokenEvent(std::string_view id, std::string_view model, std::string_view text);
 
 /// Returns the events that end a streamed completion.
-std::string endEvents(std::string_view id, std::string_view model, std::string_view finishReason);
+std::string finalEvents(std::string_view id, std::string_view model, std::string_view finishReason);
 
 /// Returns the event that ends a streamed completion that cannot be finished.
 std::string errorEvent(const RefuseRequest &refusal);
--- a/src/libweb/callerapi.cpp
+++ b/src/libweb/callerapi.cpp
@@ -288,7 +288,7 @@
            + R"(,"finish_reason":null}]})" + "\n\n";
 }
 
-std::string endEvents(std::string_view id, std::string_view model, std::string_view finishReason)
+std::string finalEvents(std::string_view id, std::string_view model, std::string_view finishReason)
 {
     return eventPrefix(id, model) + R"("","finish_reason":")" + std::string(finishReason)
            + R"("}]})" + "\n\ndata: [DONE]\n\n";
