--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -122,7 +122,7 @@
         addCompressed(compressRows(*rows), update);
     else
         for (const StoreRow &row : *rows)
-            putRow(row, *update.add_rows());
+            encodeRow(row, *update.add_rows());
     update.set_version(state.copy.version());
     update.set_clock_ms(milliseconds(bootNow()));
     update.set_known_ms(milliseconds(state.knownAt));
--- a/src/libpeer/newsrows.cpp
+++ b/src/libpeer/newsrows.cpp
@@ -2,7 +2,7 @@
 
 namespace balsamloft {
 
-void putRow(const StoreRow &row, wire::NewsRow &told)
+void encodeRow(const StoreRow &row, wire::NewsRow &told)
 {
     told.set_key(row.key);
     told.set_value(row.value);
--- a/src/libpeer/newsrows.h
+++ b/src/libpeer/newsrows.h
@@ -9,7 +9,7 @@
 
 namespace balsamloft {
 
-void putRow(const StoreRow &row, wire::NewsRow &told);
+void encodeRow(const StoreRow &row, wire::NewsRow &told);
 StoreRow rowOf(const wire::NewsRow &told);
 
 } // namespace balsamloft
--- a/src/libpeer/tableupdate.cpp
+++ b/src/libpeer/tableupdate.cpp
@@ -27,7 +27,7 @@
 {
     wire::RowList list;
     for (const StoreRow &row : rows)
-        putRow(row, *list.add_rows());
+        encodeRow(row, *list.add_rows());
     return list;
 }
 
