--- a/src/entry/tablesource.cpp
+++ b/src/entry/tablesource.cpp
@@ -139,7 +139,7 @@
         answer.reply.rows = std::move(*rows);
     }
     for (const wire::NewsRow &row : update.rows())
-        answer.reply.rows.push_back(rowOf(row));
+        answer.reply.rows.push_back(decodeRow(row));
     const Time steady = steadyNow();
     if (update.domains_size() > 0)
         *m_lastReportAt = steady;
--- a/src/libpeer/newsrows.cpp
+++ b/src/libpeer/newsrows.cpp
@@ -10,7 +10,7 @@
     told.set_dropped(row.dropped);
 }
 
-StoreRow rowOf(const wire::NewsRow &told)
+StoreRow decodeRow(const wire::NewsRow &told)
 {
     return {told.key(), told.value(), told.version(), told.dropped()};
 }
--- a/src/libpeer/newsrows.h
+++ b/src/libpeer/newsrows.h
@@ -10,6 +10,6 @@
 namespace balsamloft {
 
 void encodeRow(const StoreRow &row, wire::NewsRow &told);
-StoreRow rowOf(const wire::NewsRow &told);
+StoreRow decodeRow(const wire::NewsRow &told);
 
 } // namespace balsamloft
--- a/src/libpeer/tableupdate.cpp
+++ b/src/libpeer/tableupdate.cpp
@@ -76,7 +76,7 @@
         return std::nullopt;
     std::vector<StoreRow> rows;
     for (const wire::NewsRow &row : list.rows())
-        rows.push_back(rowOf(row));
+        rows.push_back(decodeRow(row));
     return rows;
 }
 
