--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -1,6 +1,6 @@
 #include "peerserver.h"
 
-#include "../libpeer/newsrows.h"
+#include "../libpeer/rowcodec.h"
 #include "clock.h"
 
 #include <charconv>
--- a/src/libpeer/newsrows.cpp
+++ b/src/libpeer/rowcodec.cpp
@@ -1,4 +1,4 @@
-#include "newsrows.h"
+#include "rowcodec.h"
 
 namespace balsamloft {
 
--- a/src/libpeer/tableupdate.cpp
+++ b/src/libpeer/tableupdate.cpp
@@ -1,6 +1,6 @@
 #include <balsamloft/tableupdate.h>
 
-#include "newsrows.h"
+#include "rowcodec.h"
 
 #include <zlib.h>
 
