--- a/src/include/balsamloft/peersocket.h
+++ b/src/include/balsamloft/peersocket.h
@@ -1,5 +1,5 @@
 /// \file
-/// The peer protocol over ZeroMQ with protobuf.
+/// Peer protocol between instances: protobuf messages over ZeroMQ.
 
 #pragma once
 
@@ -16,12 +16,12 @@
 /// Returns the wire form of \a message.
 std::string encodePeerMessage(const PeerMessage &message);
 
-/// Returns nothing and a reason when \a bytes are not a valid message.
+/// Returns nothing and sets \a reason if \a bytes are not a valid message.
 std::optional<PeerMessage> decodePeerMessage(std::string_view bytes, Reason &reason);
 
-/// Sends and receives one-way messages. Connections to the peers used last
-/// are kept; there is no mesh. What cannot be sent at once is dropped: every
-/// message is one that is repeated or asked for again.
+/// Sends and receives one-way messages. Keeps connections open only to the most recently used
+/// peers. Drops messages that cannot be queued at once, since the protocol resends or requests
+/// again whatever is lost.
 class PeerSocket
 {
 public:
@@ -30,11 +30,11 @@
     PeerSocket(boost::asio::io_context &context, Callback callback);
     ~PeerSocket();
 
-    /// Listens on \a address ("IP:port"; port 0 takes a free one). Returns
-    /// false and a reason when it cannot.
+    /// Listens on \a address ("IP:port"; port 0 selects a free port). Returns false and sets
+    /// \a reason on failure.
     bool listen(const std::string &address, Reason &reason);
 
-    /// Returns "IP:port" that is listened on.
+    /// Returns the address that the socket listens on, as "IP:port".
     const std::string &address() const;
 
     void send(const std::string &address, const PeerMessage &message);
@@ -42,7 +42,7 @@
     std::uint64_t bytesSent() const;
     std::uint64_t bytesReceived() const;
 
-    /// Messages that were not valid and were dropped.
+    /// Returns the number of received messages that were dropped as invalid.
     std::uint64_t malformed() const;
 
 private:
--- a/src/libpeer/peercodec.cpp
+++ b/src/libpeer/peercodec.cpp
@@ -8,25 +8,25 @@
 
 constexpr std::size_t HexDigitsPerByte = 2;
 
-void toWire(const MemberStatus &news, wire::Member &member)
+void toWire(const MemberStatus &status, wire::Member &member)
 {
-    member.set_name(news.name);
-    member.set_domain(news.domain);
-    member.set_address(news.address);
-    member.set_incarnation(news.incarnation);
-    member.set_state(static_cast<std::uint32_t>(news.state));
+    member.set_name(status.name);
+    member.set_domain(status.domain);
+    member.set_address(status.address);
+    member.set_incarnation(status.incarnation);
+    member.set_state(static_cast<std::uint32_t>(status.state));
 }
 
-bool fromWire(const wire::Member &member, MemberStatus &news)
+bool fromWire(const wire::Member &member, MemberStatus &status)
 {
     if (member.state() > static_cast<std::uint32_t>(MemberState::Dead))
         return false;
-    news = {member.name(), member.domain(), member.address(), member.incarnation(),
-            static_cast<MemberState>(member.state())};
+    status = {member.name(), member.domain(), member.address(), member.incarnation(),
+              static_cast<MemberState>(member.state())};
     return true;
 }
 
-/// A digest travels as bytes: half the size of its hex digits.
+/// Converts a digest from hex digits to bytes, which halves its size on the wire.
 std::string hexToBytes(std::string_view hex)
 {
     std::string bytes;
@@ -59,13 +59,13 @@
     envelope.set_known_members(message.knownMembers);
     envelope.set_version(message.head.version);
     envelope.set_digest(hexToBytes(message.head.digest));
-    for (const MemberStatus &news : message.members)
-        toWire(news, *envelope.add_members());
-    for (const EndpointStatus &news : message.endpoints) {
+    for (const MemberStatus &status : message.members)
+        toWire(status, *envelope.add_members());
+    for (const EndpointStatus &status : message.endpoints) {
         wire::EndpointState *state = envelope.add_endpoints();
-        state->set_name(news.name);
-        state->set_generation(news.generation);
-        state->set_leaving(news.leaving);
+        state->set_name(status.name);
+        state->set_generation(status.generation);
+        state->set_leaving(status.leaving);
     }
     for (const Demand &demand : message.demand) {
         wire::DemandRate *rate = envelope.add_demand();
@@ -99,9 +99,9 @@
     message.knownMembers = envelope.known_members();
     message.head = {envelope.version(), bytesToHex(envelope.digest())};
     for (const wire::Member &member : envelope.members()) {
-        MemberStatus news;
-        if (fromWire(member, news))
-            message.members.push_back(std::move(news));
+        MemberStatus status;
+        if (fromWire(member, status))
+            message.members.push_back(std::move(status));
     }
     for (const wire::EndpointState &state : envelope.endpoints())
         message.endpoints.push_back({state.name(), state.generation(), state.leaving()});
--- a/src/libpeer/peercodec_test.cpp
+++ b/src/libpeer/peercodec_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-PeerMessage sample()
+PeerMessage sampleMessage()
 {
     PeerMessage message;
     message.kind = PeerMessage::Kind::PingRequest;
@@ -27,54 +27,54 @@
 
 } // namespace
 
-TEST_CASE("messages survive the wire", "[peer]")
+TEST_CASE("a decoded peer message equals the encoded one", "[peer]")
 {
     Reason reason;
-    const auto back = decodePeerMessage(encodePeerMessage(sample()), reason);
-    REQUIRE(back);
-    CHECK(encodePeerMessage(*back) == encodePeerMessage(sample()));
-    CHECK(back->head == sample().head);
-    CHECK(back->members.front().state == MemberState::Suspect);
-    CHECK(back->endpoints.front().leaving);
-    CHECK(back->target.name == "i3");
+    const auto decoded = decodePeerMessage(encodePeerMessage(sampleMessage()), reason);
+    REQUIRE(decoded);
+    CHECK(encodePeerMessage(*decoded) == encodePeerMessage(sampleMessage()));
+    CHECK(decoded->head == sampleMessage().head);
+    CHECK(decoded->members.front().state == MemberState::Suspect);
+    CHECK(decoded->endpoints.front().leaving);
+    CHECK(decoded->target.name == "i3");
 }
 
-TEST_CASE("what is not a message is refused", "[peer]")
+TEST_CASE("invalid bytes are rejected with a reason and truncated messages do not crash", "[peer]")
 {
     Reason reason;
     CHECK_FALSE(decodePeerMessage("nonsense", reason));
     CHECK_FALSE(reason.empty());
     CHECK_FALSE(decodePeerMessage("", reason)); // no sender
-    const std::string whole = encodePeerMessage(sample());
-    for (std::size_t size = 0; size < whole.size(); ++size)
-        decodePeerMessage(whole.substr(0, size), reason); // must not crash
+    const std::string bytes = encodePeerMessage(sampleMessage());
+    for (std::size_t size = 0; size < bytes.size(); ++size)
+        decodePeerMessage(bytes.substr(0, size), reason); // must not crash
 }
 
-TEST_CASE("two sockets exchange messages", "[peer]")
+TEST_CASE("a socket receives every message that another socket sends", "[peer]")
 {
     boost::asio::io_context context;
     std::vector<PeerMessage> received;
-    PeerSocket first(context, [&](PeerMessage) {});
+    PeerSocket sender(context, [&](PeerMessage) {});
     std::string address;
-    // Fewer than a connection holds: what it cannot take at once is dropped.
-    const auto sendSome = [&] {
+    // 20 messages fit into the queue of a connection, which drops messages when it is full.
+    const auto sendBatch = [&] {
         for (int i = 0; i < 20; ++i)
-            first.send(address, sample());
+            sender.send(address, sampleMessage());
     };
-    PeerSocket second(context, [&](PeerMessage message) {
+    PeerSocket receiver(context, [&](PeerMessage message) {
         received.push_back(std::move(message));
         if (received.size() == 60)
             context.stop();
         else if (received.size() % 20 == 0)
-            sendSome();
+            sendBatch();
     });
     Reason reason;
-    REQUIRE(first.listen("127.0.0.1:0", reason));
-    REQUIRE(second.listen("127.0.0.1:0", reason));
-    CHECK_FALSE(second.listen("not an address", reason));
-    address = second.address();
-    sendSome();
+    REQUIRE(sender.listen("127.0.0.1:0", reason));
+    REQUIRE(receiver.listen("127.0.0.1:0", reason));
+    CHECK_FALSE(receiver.listen("not an address", reason));
+    address = receiver.address();
+    sendBatch();
     context.run();
     CHECK(received.size() == 60);
-    CHECK(second.bytesReceived() == first.bytesSent());
+    CHECK(receiver.bytesReceived() == sender.bytesSent());
 }
--- a/src/libpeer/peersocket.cpp
+++ b/src/libpeer/peersocket.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr std::size_t MaxConnections = 32; ///< kept to peers
-constexpr int HighWaterMark = 64; ///< messages waiting, per connection
+constexpr std::size_t MaxConnections = 32; ///< to peers; the least recently used is closed
+constexpr int HighWaterMark = 64; ///< queued messages per connection
 constexpr std::int64_t MaxMessageBytes = 16 << 20;
 constexpr int HeartbeatMillis = 2000;
 constexpr int HeartbeatTimeoutMillis = 4000;
@@ -38,7 +38,7 @@
 
     ~Impl()
     {
-        // The descriptor belongs to the socket, which closes it.
+        // The ZeroMQ socket owns the descriptor and closes it.
         if (m_descriptor.is_open())
             m_descriptor.release();
     }
@@ -62,7 +62,7 @@
     };
 
     void waitReadable();
-    void drain();
+    void receiveAll();
     Connection &connection(const std::string &address);
 
     asio::io_context &m_context;
@@ -92,7 +92,7 @@
         reason = "cannot listen on " + address + ": " + error.what();
         return false;
     }
-    asio::post(m_context, [this] { drain(); });
+    asio::post(m_context, [this] { receiveAll(); });
     return true;
 }
 
@@ -101,14 +101,14 @@
     m_descriptor.async_wait(asio::posix::stream_descriptor::wait_read,
                             [this](boost::system::error_code error) {
                                 if (!error)
-                                    drain();
+                                    receiveAll();
                             });
 }
 
-void PeerSocket::Impl::drain()
+void PeerSocket::Impl::receiveAll()
 {
-    // The descriptor only signals a change: everything that is there has to be
-    // taken before waiting again, or it would lie until the next message.
+    // The descriptor is edge-triggered: messages left in the queue would stay there until the next
+    // one arrives.
     zmq::message_t received;
     while (m_receiver.recv(received, zmq::recv_flags::dontwait)) {
         m_bytesReceived += received.size();
@@ -137,8 +137,8 @@
     Connection connection {zmq::socket_t(m_zmq, zmq::socket_type::push), m_recency.begin()};
     connection.socket.set(zmq::sockopt::linger, LingerMillis);
     connection.socket.set(zmq::sockopt::sndhwm, HighWaterMark);
-    // A connection that something on the way has lost track of is noticed and
-    // made anew, instead of swallowing messages for good.
+    // Heartbeats detect a connection whose state a device on the path has dropped. Without them,
+    // messages would be lost on it forever instead of causing a reconnect.
     connection.socket.set(zmq::sockopt::heartbeat_ivl, HeartbeatMillis);
     connection.socket.set(zmq::sockopt::heartbeat_timeout, HeartbeatTimeoutMillis);
     connection.socket.set(zmq::sockopt::reconnect_ivl_max, ReconnectMillis);
--- a/src/libpeer/rowcodec.cpp
+++ b/src/libpeer/rowcodec.cpp
@@ -2,17 +2,17 @@
 
 namespace balsamloft {
 
-void encodeRow(const StoreRow &row, wire::NewsRow &told)
+void encodeRow(const StoreRow &row, wire::NewsRow &message)
 {
-    told.set_key(row.key);
-    told.set_value(row.value);
-    told.set_version(row.version);
-    told.set_dropped(row.dropped);
+    message.set_key(row.key);
+    message.set_value(row.value);
+    message.set_version(row.version);
+    message.set_dropped(row.dropped);
 }
 
-StoreRow decodeRow(const wire::NewsRow &told)
+StoreRow decodeRow(const wire::NewsRow &message)
 {
-    return {told.key(), told.value(), told.version(), told.dropped()};
+    return {message.key(), message.value(), message.version(), message.dropped()};
 }
 
 } // namespace balsamloft
--- a/src/libpeer/rowcodec.h
+++ b/src/libpeer/rowcodec.h
@@ -1,5 +1,5 @@
 /// \file
-/// Rows as entry instances tell them.
+/// Conversion between store rows and their protobuf form in table updates.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace balsamloft {
 
-void encodeRow(const StoreRow &row, wire::NewsRow &told);
-StoreRow decodeRow(const wire::NewsRow &told);
+void encodeRow(const StoreRow &row, wire::NewsRow &message);
+StoreRow decodeRow(const wire::NewsRow &message);
 
 } // namespace balsamloft
