--- a/src/include/balsamloft/callerapi.h
+++ b/src/include/balsamloft/callerapi.h
@@ -1,5 +1,5 @@
 /// \file
-/// The interface towards callers: reading requests, writing answers.
+/// HTTP API for callers: parses requests and formats answers.
 
 #pragma once
 
@@ -19,15 +19,16 @@
     std::size_t maxKeyBytes = 256;
 };
 
-/// A caller's request, checked in form. The core checks the rest.
+/// A caller's request whose syntax is valid. The router checks the rest, such as whether the model
+/// exists.
 struct CallerRequest
 {
     Request request; ///< without the id
     bool stream = false;
-    HttpRequest forward; ///< services: what to send to the endpoint
+    HttpRequest forward; ///< the request to send to the endpoint; services only
 };
 
-/// Why a request cannot be taken. It was not run.
+/// Why a request is invalid. Such a request is never executed.
 struct CallerError
 {
     unsigned status = 400;
@@ -35,19 +36,19 @@
     std::string message;
 };
 
-/// Reads a request to `/v1/completions` or `/services/NAME/PATH`. The team is
-/// looked up in \a config by the bearer token.
+/// Parses a request to `/v1/completions` or `/services/NAME/PATH`. Looks up the team in \a config
+/// by the bearer token.
 std::variant<CallerRequest, CallerError> readCallerRequest(const HttpRequest &http,
                                                            const Config &config,
                                                            const CallerLimits &limits, Time now);
 
-/// Returns the answer to a request that cannot be taken.
+/// Returns the answer to an invalid request.
 HttpResponse errorResponse(const CallerError &error);
 
-/// Returns the answer to a refused request.
+/// Returns the answer to a request that the router refused.
 HttpResponse refusalResponse(const RefuseRequest &refusal);
 
-/// Returns the JSON text of a refusal, as in refusalResponse().
+/// Returns the JSON body of refusalResponse().
 std::string refusalJson(const RefuseRequest &refusal);
 
 /// Returns one server-sent event with a token of a streamed completion.
@@ -56,10 +57,10 @@
 /// Returns the events that end a streamed completion.
 std::string finalEvents(std::string_view id, std::string_view model, std::string_view finishReason);
 
-/// Returns the event that ends a streamed completion that cannot be finished.
+/// Returns the event that ends a streamed completion after a failure.
 std::string errorEvent(const RefuseRequest &refusal);
 
-/// Returns the body of a completion that is not streamed.
+/// Returns the body of the answer to a completion that is not streamed.
 std::string completionBody(std::string_view id, std::string_view model, const Answer &answer,
                            std::string_view finishReason);
 
--- a/src/include/balsamloft/durationsummary.h
+++ b/src/include/balsamloft/durationsummary.h
@@ -1,5 +1,5 @@
 /// \file
-/// Quantiles of durations, in the text form of Prometheus.
+/// Metrics in the text format of Prometheus.
 
 #pragma once
 
@@ -13,12 +13,13 @@
 
 namespace balsamloft {
 
-/// Quantiles, count and sum of a duration.
+/// Estimates quantiles of durations and keeps their count and sum.
 class DurationSummary
 {
 public:
     DurationSummary();
     void add(Duration duration);
+    /// Appends the samples of the metric \a name, in seconds, to \a text.
     void render(std::string_view name, std::string_view labels, std::string &text) const;
 
 private:
@@ -28,7 +29,7 @@
     boost::accumulators::accumulator_set<double, Statistics> m_set;
 };
 
-/// Appends one sample.
+/// Appends one sample of the metric \a name to \a text.
 void renderSample(std::string_view name, std::string_view labels, double value, std::string &text);
 
 } // namespace balsamloft
--- a/src/include/balsamloft/enginewire.h
+++ b/src/include/balsamloft/enginewire.h
@@ -1,5 +1,5 @@
 /// \file
-/// JSON forms of what the daemon and engines tell each other.
+/// JSON encoding of the messages between the daemon and engines.
 
 #pragma once
 
@@ -9,11 +9,11 @@
 
 namespace balsamloft {
 
-/// A step on the wire. \c request is the request's global id.
+/// Instructs an engine to run one step of a request. \c request is the request's global id.
 struct WireStep
 {
     std::string request;
-    StepRef ref; ///< without the request number
+    StepRef ref; ///< its request number is not sent
     bool prefill = false;
     bool firstStage = false;
     bool lastStage = false;
@@ -22,17 +22,17 @@
     std::string input;
 };
 
-/// An engine's answer to a step on the wire.
+/// An engine's answer to a WireStep.
 struct WireStepAnswer
 {
     std::string request;
-    StepAnswer answer; ///< \c answer.ref without the request number
+    StepAnswer answer; ///< the request number of \c answer.ref is not sent
 };
 
 std::string toJson(const WireStep &step);
 std::string toJson(const WireStepAnswer &answer);
 
-/// Return nothing and a reason when \a text is not what it should be.
+/// Return nothing and set \a reason if \a text is not a valid message.
 std::optional<WireStep> wireStepFromJson(std::string_view text, Reason &reason);
 std::optional<WireStepAnswer> wireStepAnswerFromJson(std::string_view text, Reason &reason);
 
--- a/src/include/balsamloft/httpclient.h
+++ b/src/include/balsamloft/httpclient.h
@@ -1,6 +1,6 @@
 /// \file
-/// An HTTP/1.1 client with pooled connections that tells whether a request
-/// that failed can have reached the other side.
+/// HTTP/1.1 client with a connection pool. Reports whether a failed request may have reached the
+/// server.
 
 #pragma once
 
@@ -17,41 +17,41 @@
     Duration connectTimeout {300'000};
     std::uint64_t maxBodyBytes = 16 * 1024 * 1024;
     std::size_t maxIdlePerAddress = 256;
-    Duration idleLifetime {10'000'000}; ///< shorter than what servers keep
+    Duration idleLifetime {10'000'000}; ///< shorter than the idle timeout of servers
 };
 
-/// How a request failed.
+/// Why a request failed.
 struct HttpFailure
 {
     enum class Kind : std::uint8_t {
-        NotSent, ///< no byte of it was written
-        Broken, ///< the connection failed later
-        TimedOut, ///< no whole answer came in time
+        NotSent, ///< no byte of the request was written
+        Broken, ///< the connection failed after writing began
+        TimedOut, ///< the answer was not complete in time
     };
     Kind kind = Kind::NotSent;
     std::string reason;
 };
 
-/// The answer, or how there was none.
+/// The answer, or the reason for its absence.
 struct HttpResult
 {
     std::optional<HttpResponse> response;
-    HttpFailure failure; ///< when there is no response
+    HttpFailure failure; ///< valid if there is no response
 };
 
-/// A request under way.
+/// A request in progress.
 class HttpCall
 {
 public:
     virtual ~HttpCall() = default;
 
-    /// Closes the connection; the callback is not called any more.
+    /// Closes the connection. The callback is not called afterwards.
     virtual void abort() = 0;
 };
 
 using HttpCallPtr = std::shared_ptr<HttpCall>;
 
-/// Sends requests; one thread. Connections are kept and used again.
+/// Sends requests over reused connections. Not thread-safe.
 class HttpClient
 {
 public:
@@ -60,9 +60,9 @@
     /// Options of one request.
     struct Options
     {
-        Duration timeout {10'000'000}; ///< from now to the whole answer
-        bool freshConnection = false; ///< do not use a kept one
-        std::function<bool()> maySend; ///< asked right before the first byte is written
+        Duration timeout {10'000'000}; ///< from send() to the complete answer
+        bool freshConnection = false; ///< open a new connection instead of reusing an idle one
+        std::function<bool()> maySend; ///< called before the first write; false cancels the request
     };
 
     HttpClient(boost::asio::io_context &context, HttpClientSettings settings = {});
@@ -72,10 +72,10 @@
     HttpCallPtr send(const std::string &address, HttpRequest request, Options options,
                      Callback callback);
 
-    /// Closes the kept connections to \a address.
+    /// Closes the idle connections to \a address.
     void closeIdle(const std::string &address);
 
-    /// Closes the kept connections that have been idle for too long.
+    /// Closes the connections that have been idle for longer than the idle lifetime.
     void closeExpired(Time now);
 
 private:
--- a/src/include/balsamloft/httpplatform.h
+++ b/src/include/balsamloft/httpplatform.h
@@ -1,5 +1,5 @@
 /// \file
-/// The platform's services over HTTP.
+/// Client for the platform's HTTP services: transactions, objects and the list of instances.
 
 #pragma once
 
@@ -10,14 +10,14 @@
 
 namespace balsamloft {
 
-/// Settings of the platform's client.
+/// Settings of the client.
 struct HttpPlatformSettings
 {
     std::string address; ///< "IP:port"
-    Duration timeout {2'000'000};
+    Duration timeout {2'000'000}; ///< for connecting, and for each request
 };
 
-/// Returns a Platform that speaks to the service at \a settings.address.
+/// Returns a Platform that calls the service at \a settings.address.
 std::unique_ptr<Platform> makeHttpPlatform(boost::asio::io_context &context,
                                            HttpPlatformSettings settings);
 
--- a/src/include/balsamloft/httprequest.h
+++ b/src/include/balsamloft/httprequest.h
@@ -1,5 +1,5 @@
 /// \file
-/// What every reader of HTTP requests needs, and the clock of the adapters.
+/// Helpers that extract parts of HTTP requests, and the monotonic clock.
 
 #pragma once
 
@@ -10,19 +10,19 @@
 
 namespace balsamloft {
 
-/// Returns the target of \a request without the query. The view lives as long
-/// as the request.
+/// Returns the target of \a request without the query. The view is valid as long as the request
+/// exists.
 std::string_view targetPath(const HttpRequest &request);
 
-/// Returns the value of the query parameter \a name, as it was sent, or an
-/// empty view. The view lives as long as the request.
+/// Returns the value of the query parameter \a name without decoding it, or an empty view. The view
+/// is valid as long as the request exists.
 std::string_view queryParameter(const HttpRequest &request, std::string_view name);
 
 /// Returns the token of `Authorization: Bearer TOKEN`, or nothing.
 std::optional<std::string_view> bearerToken(const HttpRequest &request);
 
-/// Returns the present monotonic time. For adapters only: the core takes the
-/// time as an argument.
+/// Returns the current monotonic time. For code that does I/O only: the routing logic gets the time
+/// as an argument.
 Time steadyNow();
 
 } // namespace balsamloft
--- a/src/include/balsamloft/httpserver.h
+++ b/src/include/balsamloft/httpserver.h
@@ -1,6 +1,6 @@
 /// \file
-/// A small HTTP/1.1 server on Boost.Beast: bounded, with streamed answers and
-/// notice of callers that go away.
+/// HTTP/1.1 server on Boost.Beast with resource limits, streamed answers and notification of
+/// disconnected callers.
 
 #pragma once
 
@@ -24,13 +24,13 @@
 {
     std::uint32_t maxHeaderBytes = 16 * 1024;
     std::uint64_t maxBodyBytes = 4 * 1024 * 1024;
-    Duration requestTimeout {15'000'000}; ///< to send one request whole, or to stay idle
-    Duration writeTimeout {15'000'000}; ///< for a caller to take what is written
-    std::size_t maxBufferedBytes = 4 * 1024 * 1024; ///< of a stream that is read slowly
+    Duration requestTimeout {15'000'000}; ///< to receive a complete request, idle time included
+    Duration writeTimeout {15'000'000}; ///< for each write to the caller
+    std::size_t maxBufferedBytes = 4 * 1024 * 1024; ///< of a stream whose caller reads slowly
     std::size_t maxConnections = 10'000;
 };
 
-/// One request and the answer to it. All calls are made on the server's thread.
+/// One request and the answer to it. Must be used on the server's thread only.
 class HttpExchange
 {
 public:
@@ -38,48 +38,49 @@
 
     virtual const HttpRequest &request() const = 0;
 
-    /// Sends a whole answer. Ignored when one was sent or begun.
+    /// Sends a complete answer. Has no effect if an answer was sent or begun before.
     virtual void respond(HttpResponse response) = 0;
 
     /// Begins a streamed answer with the header of \a response.
     virtual void beginStream(HttpResponse response) = 0;
 
-    /// Appends to a streamed answer. Returns false when the caller does not
-    /// read and too much is buffered; the exchange is then gone.
+    /// Appends to a streamed answer. Returns false if no stream is open, or if the data exceeds the
+    /// buffer limit because the caller reads too slowly; the connection is then closed.
     virtual bool write(std::string_view data) = 0;
 
-    /// Ends a streamed answer properly.
+    /// Completes a streamed answer.
     virtual void endStream() = 0;
 
-    /// Closes the connection without (the rest of) an answer.
+    /// Closes the connection without completing the answer.
     virtual void abort() = 0;
 
-    /// Calls \a callback when the caller closes its end or the connection
-    /// breaks before the answer is complete. An answer can still be tried.
+    /// Calls \a callback if the caller closes its side of the connection or the connection fails
+    /// before the answer is complete. The handler may still try to send an answer.
     virtual void onCallerGone(std::function<void()> callback) = 0;
 };
 
 using HttpExchangePtr = std::shared_ptr<HttpExchange>;
 using HttpHandler = std::function<void(HttpExchangePtr)>;
 
-/// Accepts connections and hands each request to a handler.
+/// Accepts connections and passes each request to a handler.
 class HttpServer
 {
 public:
     HttpServer(boost::asio::io_context &context, HttpServerSettings settings, HttpHandler handler);
     ~HttpServer();
 
-    /// Listens on \a address ("IP:port"; port 0 takes a free one). Returns
-    /// false and a reason when it cannot.
+    /// Listens on \a address ("IP:port"; port 0 selects a free port). Returns false and sets
+    /// \a reason on failure.
     bool listen(std::string_view address, Reason &reason);
 
-    /// Returns the port that is listened on.
+    /// Returns the port that the server listens on.
     std::uint16_t port() const;
 
-    /// Accepts no more connections, and closes each after its present answer.
+    /// Stops accepting connections and closes each open one after its current answer, idle ones at
+    /// once.
     void stopAccepting();
 
-    /// Closes everything at once.
+    /// Stops accepting connections and closes all open ones at once.
     void close();
 
     std::size_t connections() const;
@@ -95,11 +96,11 @@
     boost::asio::ip::tcp::acceptor m_acceptor;
 };
 
-/// Splits "IP:port" ("[v6]:port"). Returns nothing and a reason when malformed.
+/// Parses "IP:port" ("[v6]:port"). Returns nothing and sets \a reason if malformed.
 std::optional<boost::asio::ip::tcp::endpoint> parseAddress(std::string_view address,
                                                            Reason &reason);
 
-/// Builds a response with a JSON body.
+/// Returns a response with the JSON text \a body.
 HttpResponse jsonResponse(boost::beast::http::status status, std::string body);
 
 } // namespace balsamloft
--- a/src/libplatform/httpplatform.cpp
+++ b/src/libplatform/httpplatform.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::optional<json::value> parsedBody(const HttpResult &result, unsigned status)
+std::optional<json::value> parseBody(const HttpResult &result, unsigned status)
 {
     if (!result.response || result.response->result_int() != status)
         return std::nullopt;
@@ -49,9 +49,9 @@
                 {}};
     if (result.response->result() == http::status::ok)
         return {Kind::Committed, {}};
-    const auto body = parsedBody(result, 409);
-    // Any other status may stand for a write that took effect and whose
-    // answer was lost inside the service.
+    const auto body = parseBody(result, 409);
+    // With any other status the transaction may have been committed, with the answer lost inside
+    // the service.
     if (!body)
         return {Kind::Unknown, {}};
     TransactionOutcome outcome {Kind::Conflict, {}};
@@ -76,7 +76,7 @@
     {
         send(http::verb::post, "/v1/transact", json::serialize(transactionJson(transaction)),
              [callback](const HttpResult &result) {
-                 guarded(callback, TransactionOutcome {}, [&] { return outcomeOf(result); });
+                 callWithParsed(callback, TransactionOutcome {}, [&] { return outcomeOf(result); });
              });
     }
 
@@ -86,10 +86,10 @@
         send(http::verb::post, "/v1/read",
              json::serialize(json::object {{"table", table}, {"key", key}}),
              [callback](const HttpResult &result) {
-                 guarded(callback, ReadOutcome {}, [&] {
-                     if (parsedBody(result, 404))
+                 callWithParsed(callback, ReadOutcome {}, [&] {
+                     if (parseBody(result, 404))
                          return ReadOutcome {ReadOutcome::Kind::Missing, {}};
-                     const auto body = parsedBody(result, 200);
+                     const auto body = parseBody(result, 200);
                      if (!body)
                          return ReadOutcome {};
                      return ReadOutcome {ReadOutcome::Kind::Found, rowFromJson(body->as_object())};
@@ -103,9 +103,9 @@
         send(http::verb::post, "/v1/scan",
              json::serialize(json::object {{"table", table}, {"after", after}, {"limit", limit}}),
              [callback](const HttpResult &result) {
-                 guarded(callback, ScanOutcome {}, [&] {
+                 callWithParsed(callback, ScanOutcome {}, [&] {
                      ScanOutcome outcome;
-                     const auto body = parsedBody(result, 200);
+                     const auto body = parseBody(result, 200);
                      if (!body)
                          return outcome;
                      for (const json::value &row : body->at("rows").as_array())
@@ -140,8 +140,8 @@
     {
         using List = std::optional<std::vector<ListedInstance>>;
         send(http::verb::get, "/v1/instances", {}, [callback](const HttpResult &result) {
-            guarded(callback, List {}, [&]() -> List {
-                const auto body = parsedBody(result, 200);
+            callWithParsed(callback, List {}, [&]() -> List {
+                const auto body = parseBody(result, 200);
                 if (!body)
                     return std::nullopt;
                 std::vector<ListedInstance> list;
@@ -156,10 +156,10 @@
     }
 
 private:
-    /// Calls back with what \a parse returns, or with \a fallback when the
-    /// answer is not of the published form.
+    /// Passes the result of \a parse to \a callback, or a default value if \a parse throws because
+    /// the answer does not have the documented form.
     template<typename Callback, typename Fallback, typename Parse>
-    static void guarded(const Callback &callback, Fallback fallback, Parse parse)
+    static void callWithParsed(const Callback &callback, Fallback fallback, Parse parse)
     {
         try {
             fallback = parse();
--- a/src/libweb/callerapi.cpp
+++ b/src/libweb/callerapi.cpp
@@ -19,10 +19,10 @@
 constexpr std::size_t MaxJsonDepth = 8;
 constexpr std::string_view CompletionsPath = "/v1/completions";
 constexpr std::string_view ServicesPrefix = "/services/";
-constexpr std::string_view OwnHeaderPrefix = "balsamloft-";
+constexpr std::string_view BalsamloftHeaderPrefix = "balsamloft-";
 
 using Headers = HttpRequest::header_type;
-using Read = std::variant<CallerRequest, CallerError>;
+using ParsedRequest = std::variant<CallerRequest, CallerError>;
 
 std::string_view header(const HttpRequest &request, std::string_view name)
 {
@@ -45,30 +45,31 @@
     return number;
 }
 
-CallerError invalid(std::string message)
+CallerError invalidRequest(std::string message)
 {
     return {400, "invalid_request", std::move(message)};
 }
 
-/// Reads what the Balsamloft-* headers say. Returns an error, or nothing.
+/// Reads the idempotency key and the Balsamloft-* headers into \a request. Returns an error if one
+/// is invalid.
 std::optional<CallerError> readHeaders(const HttpRequest &http, const CallerLimits &limits,
                                        Time now, Request &request)
 {
     request.key = header(http, "Idempotency-Key");
     if (request.key.size() > limits.maxKeyBytes)
-        return invalid("Idempotency-Key is longer than " + std::to_string(limits.maxKeyBytes)
-                       + " bytes");
-    const std::string_view mark = header(http, "Balsamloft-Non-Idempotent");
-    if (!mark.empty() && mark != "0" && mark != "1")
-        return invalid("Balsamloft-Non-Idempotent must be 0 or 1");
-    request.nonIdempotent = mark == "1";
+        return invalidRequest("Idempotency-Key is longer than " + std::to_string(limits.maxKeyBytes)
+                              + " bytes");
+    const std::string_view nonIdempotentText = header(http, "Balsamloft-Non-Idempotent");
+    if (!nonIdempotentText.empty() && nonIdempotentText != "0" && nonIdempotentText != "1")
+        return invalidRequest("Balsamloft-Non-Idempotent must be 0 or 1");
+    request.nonIdempotent = nonIdempotentText == "1";
     Duration deadline = limits.defaultDeadline;
     if (const std::string_view text = header(http, "Balsamloft-Deadline-Ms"); !text.empty()) {
         const auto millis = parseNumber(text);
-        const auto longest = limits.maxDeadline.count() / 1000;
-        if (!millis || *millis < 1 || *millis > longest)
-            return invalid("Balsamloft-Deadline-Ms must be a number from 1 to "
-                           + std::to_string(longest));
+        const auto maxMillis = limits.maxDeadline.count() / 1000;
+        if (!millis || *millis < 1 || *millis > maxMillis)
+            return invalidRequest("Balsamloft-Deadline-Ms must be a number from 1 to "
+                                  + std::to_string(maxMillis));
         deadline = std::chrono::milliseconds(*millis);
     }
     request.deadline = now + deadline;
@@ -78,7 +79,7 @@
     else if (priority == "batch")
         request.priority = Priority::Batch;
     else if (!priority.empty() && priority != "normal")
-        return invalid("Balsamloft-Priority must be alert, normal or batch");
+        return invalidRequest("Balsamloft-Priority must be alert, normal or batch");
     return std::nullopt;
 }
 
@@ -92,24 +93,24 @@
     json::error_code error;
     const json::value body = json::parse(http.body(), error, {}, options);
     if (error)
-        return invalid("the body is not valid JSON: " + error.message());
+        return invalidRequest("the body is not valid JSON: " + error.message());
     const json::object *object = body.if_object();
     if (!object)
-        return invalid("the body must be a JSON object");
+        return invalidRequest("the body must be a JSON object");
     const json::value *model = object->if_contains("model");
     if (!model || !model->is_string() || model->get_string().empty())
-        return invalid("\"model\" must be the name of a model");
+        return invalidRequest("\"model\" must be a string that is not empty");
     const json::value *prompt = object->if_contains("prompt");
     if (!prompt || !prompt->is_string())
-        return invalid("\"prompt\" must be a text");
+        return invalidRequest("\"prompt\" must be a string");
     const json::value *maxTokens = object->if_contains("max_tokens");
     if (maxTokens
         && (!maxTokens->is_int64() || maxTokens->get_int64() < 1
             || maxTokens->get_int64() > static_cast<std::int64_t>(1U << 30U)))
-        return invalid("\"max_tokens\" must be a whole number of at least 1");
+        return invalidRequest("\"max_tokens\" must be an integer from 1 to 1073741824");
     const json::value *stream = object->if_contains("stream");
     if (stream && !stream->is_bool())
-        return invalid("\"stream\" must be true or false");
+        return invalidRequest("\"stream\" must be true or false");
     call.request.kind = TargetKind::Model;
     call.request.target = std::string(model->get_string());
     call.request.prompt = std::string(prompt->get_string());
@@ -119,7 +120,9 @@
     return std::nullopt;
 }
 
-bool isHopByHop(http::field field)
+/// Whether the header is not forwarded to the service: it applies to one connection only, or holds
+/// the caller's token, or is set anew for the endpoint.
+bool isDroppedHeader(http::field field)
 {
     switch (field) {
     case http::field::authorization:
@@ -144,11 +147,11 @@
            || method == http::verb::delete_ || method == http::verb::options;
 }
 
-bool isOwnHeader(std::string_view name)
+bool isBalsamloftHeader(std::string_view name)
 {
-    return name.size() >= OwnHeaderPrefix.size()
+    return name.size() >= BalsamloftHeaderPrefix.size()
            && std::equal(
-               OwnHeaderPrefix.begin(), OwnHeaderPrefix.end(), name.begin(),
+               BalsamloftHeaderPrefix.begin(), BalsamloftHeaderPrefix.end(), name.begin(),
                [](char a, char b) { return a == std::tolower(static_cast<unsigned char>(b)); });
 }
 
@@ -170,7 +173,7 @@
         return CallerError {405, "method_not_allowed", "not a known HTTP method"};
     for (const auto &field : http) {
         const std::string_view fieldName(field.name_string().data(), field.name_string().size());
-        if (!isHopByHop(field.name()) && !isOwnHeader(fieldName))
+        if (!isDroppedHeader(field.name()) && !isBalsamloftHeader(fieldName))
             call.forward.insert(field.name(), field.name_string(), field.value());
     }
     call.forward.body() = http.body();
@@ -222,8 +225,8 @@
 
 } // namespace
 
-Read readCallerRequest(const HttpRequest &http, const Config &config, const CallerLimits &limits,
-                       Time now)
+ParsedRequest readCallerRequest(const HttpRequest &http, const Config &config,
+                                const CallerLimits &limits, Time now)
 {
     const std::string_view target(http.target().data(), http.target().size());
     const std::string_view path = targetPath(http);
--- a/src/libweb/enginewire.cpp
+++ b/src/libweb/enginewire.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-json::value refJson(const StepRef &ref)
+json::value stepRefToJson(const StepRef &ref)
 {
     return {{"attempt", ref.attempt},
             {"position", ref.position},
             {"layers", {ref.layers.begin, ref.layers.end}}};
 }
 
-StepRef refFromJson(const json::object &object)
+StepRef stepRefFromJson(const json::object &object)
 {
     StepRef ref;
     ref.attempt = object.at("attempt").to_number<std::uint32_t>();
@@ -27,12 +27,13 @@
     return ref;
 }
 
-std::string text(const json::object &object, std::string_view key)
+std::string stringMember(const json::object &object, std::string_view key)
 {
     return std::string(object.at(key).as_string());
 }
 
-/// Runs \a parse on the object that \a input holds; any mismatch is a reason.
+/// Parses \a input as a JSON object and returns the result of \a parse on it. Returns nothing and
+/// sets \a reason if \a input is not an object or \a parse throws.
 template<typename Parse>
 auto parseObject(std::string_view input, Reason &reason, Parse parse)
     -> std::optional<decltype(parse(std::declval<const json::object &>()))>
@@ -56,7 +57,7 @@
 std::string toJson(const WireStep &step)
 {
     return json::serialize(json::object {{"request", step.request},
-                                         {"step", refJson(step.ref)},
+                                         {"step", stepRefToJson(step.ref)},
                                          {"prefill", step.prefill},
                                          {"first", step.firstStage},
                                          {"last", step.lastStage},
@@ -69,7 +70,7 @@
 {
     const StepAnswer &answer = wire.answer;
     return json::serialize(json::object {{"request", wire.request},
-                                         {"step", refJson(answer.ref)},
+                                         {"step", stepRefToJson(answer.ref)},
                                          {"output", answer.output},
                                          {"end", answer.end},
                                          {"prefix_hit", answer.prefixHit},
@@ -84,15 +85,15 @@
 {
     return parseObject(input, reason, [](const json::object &object) {
         WireStep step;
-        step.request = text(object, "request");
-        step.ref = refFromJson(object.at("step").as_object());
+        step.request = stringMember(object, "request");
+        step.ref = stepRefFromJson(object.at("step").as_object());
         step.prefill = object.at("prefill").as_bool();
         step.firstStage = object.at("first").as_bool();
         step.lastStage = object.at("last").as_bool();
         step.lastToken = object.at("last_token").as_bool();
         const int priority = object.at("priority").to_number<int>();
         step.priority = static_cast<Priority>(std::clamp(priority, 0, 2));
-        step.input = text(object, "input");
+        step.input = stringMember(object, "input");
         return step;
     });
 }
@@ -101,10 +102,10 @@
 {
     return parseObject(input, reason, [](const json::object &object) {
         WireStepAnswer wire;
-        wire.request = text(object, "request");
+        wire.request = stringMember(object, "request");
         StepAnswer &answer = wire.answer;
-        answer.ref = refFromJson(object.at("step").as_object());
-        answer.output = text(object, "output");
+        answer.ref = stepRefFromJson(object.at("step").as_object());
+        answer.output = stringMember(object, "output");
         answer.end = object.at("end").as_bool();
         answer.prefixHit = object.at("prefix_hit").as_bool();
         const json::object &load = object.at("load").as_object();
--- a/src/libweb/flagsetup.cpp
+++ b/src/libweb/flagsetup.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-std::vector<gflags::CommandLineFlagInfo> flagsOf(const std::vector<std::string> &programFiles)
+std::vector<gflags::CommandLineFlagInfo>
+flagsDefinedIn(const std::vector<std::string> &programFiles)
 {
     std::vector<gflags::CommandLineFlagInfo> all;
     gflags::GetAllFlags(&all);
@@ -76,15 +77,15 @@
                                             const std::vector<std::string> &programFiles,
                                             Reason &reason)
 {
-    const auto flags = flagsOf(programFiles);
+    const auto flags = flagsDefinedIn(programFiles);
     if (!readEnvironment(environmentPrefix, flags, reason))
         return std::nullopt;
     ParsedCommandLine result;
-    bool onlyArguments = false;
+    bool flagsEnded = false;
     for (int i = 1; i < argc; ++i) {
         std::string_view text(argv[i]);
-        if (onlyArguments || !text.starts_with("--") || text == "--") {
-            onlyArguments = onlyArguments || text == "--";
+        if (flagsEnded || !text.starts_with("--") || text == "--") {
+            flagsEnded = flagsEnded || text == "--";
             if (text == "-h")
                 result.helpRequested = true;
             else if (text != "--")
@@ -128,13 +129,13 @@
                       std::string_view environmentPrefix)
 {
     std::string text;
-    for (const auto &flag : flagsOf(programFiles)) {
+    for (const auto &flag : flagsDefinedIn(programFiles)) {
         text += "  --" + flag.name + " (" + flag.type;
         text += flag.default_value.empty() ? ")\n" : ", default " + flag.default_value + ")\n";
         text += "      " + flag.description + "\n";
     }
-    text += "\nEach flag can also be set by a variable: " + std::string(environmentPrefix)
-            + "NAME, with the flag's name in capitals.\n";
+    text += "\nEach flag can also be set by an environment variable: "
+            + std::string(environmentPrefix) + "NAME, with the flag's name in capitals.\n";
     return text;
 }
 
--- a/src/libweb/fuzz_main.cpp
+++ b/src/libweb/fuzz_main.cpp
@@ -1,4 +1,5 @@
-// Entry of a libFuzzer target; FUZZ_CASE names the function.
+// Entry point of a libFuzzer target. The build defines FUZZ_CASE as the name of the function to
+// fuzz.
 
 #include "fuzzcases.h"
 
--- a/src/libweb/fuzzcases.cpp
+++ b/src/libweb/fuzzcases.cpp
@@ -23,7 +23,7 @@
         std::abort();
 }
 
-ConfigPtr smallConfig()
+ConfigPtr minimalConfig()
 {
     const ConfigEntries entries {
         {"rules/models/m", R"({"name":"m","layers":4})"},
@@ -36,7 +36,7 @@
 
 void callerRequest(std::string_view bytes)
 {
-    static const ConfigPtr config = smallConfig();
+    static const ConfigPtr config = minimalConfig();
     http::request_parser<http::string_body> parser;
     parser.eager(true);
     parser.header_limit(4096);
--- a/src/libweb/fuzzcases.h
+++ b/src/libweb/fuzzcases.h
@@ -1,6 +1,6 @@
 /// \file
-/// The parsers of what callers, operators and peers send, each as a function
-/// of bytes: run by the fuzzers, and over their corpora by an ordinary test.
+/// Fuzz targets for the parsers of input from callers, operators and peers. A unit test also runs
+/// them on the fuzzing corpora.
 
 #pragma once
 
@@ -8,17 +8,18 @@
 
 namespace balsamloft::fuzz {
 
-/// A caller's HTTP request, headers and body, through readCallerRequest().
+/// Parses \a bytes as a caller's HTTP request with headers and body.
 void callerRequest(std::string_view bytes);
 
-/// An inventory or rules document, compiled if it parses.
+/// Parses \a bytes as an inventory and as a rules document and compiles the result.
 void document(std::string_view bytes);
 
-/// An entry of the platform's list of engines, from whatever writer: the first
-/// line is its key, the rest its value.
+/// Parses \a bytes as an entry of the platform's endpoint table: the first line is its key, the
+/// rest its value. Also parses the value as an engine's report and as a route table.
 void engineEntry(std::string_view bytes);
 
-/// A change, a snapshot, an engine's answer and a peer message.
+/// Parses \a bytes as a configuration change, a snapshot, a step, an engine's answer and a peer
+/// message.
 void messages(std::string_view bytes);
 
 } // namespace balsamloft::fuzz
--- a/src/libweb/fuzzcases_test.cpp
+++ b/src/libweb/fuzzcases_test.cpp
@@ -1,4 +1,4 @@
-// Runs the fuzzers' corpora as ordinary cases.
+// Runs the fuzz targets on their corpora.
 
 #include "fuzzcases.h"
 
@@ -10,7 +10,7 @@
 
 using namespace balsamloft;
 
-TEST_CASE("corpora of the fuzzers", "[fuzz]")
+TEST_CASE("every fuzz target passes on its corpus", "[fuzz]")
 {
     const struct
     {
--- a/src/libweb/httpclient.cpp
+++ b/src/libweb/httpclient.cpp
@@ -26,8 +26,8 @@
     Time idleSince {};
 };
 
-/// Whether the other side has closed a kept connection, or sent what nobody
-/// asked for. Found out before writing, so that the request counts as unsent.
+/// Whether the server has closed an idle connection or sent data without a request. This is checked
+/// before writing, so that the request still counts as not sent.
 bool isStale(tcp::socket &socket)
 {
     char byte = 0;
@@ -68,7 +68,7 @@
     void abort() override;
 
 private:
-    bool takeIdle();
+    bool takeIdleConnection();
     void connect();
     void write();
     void read();
@@ -94,12 +94,12 @@
     m_request.version(11);
     m_request.keep_alive(true);
     m_request.prepare_payload();
-    if (!m_options.freshConnection && takeIdle())
+    if (!m_options.freshConnection && takeIdleConnection())
         return write();
     connect();
 }
 
-bool HttpClient::Call::takeIdle()
+bool HttpClient::Call::takeIdleConnection()
 {
     auto &idle = m_shared->idle[m_address];
     while (!idle.empty()) {
@@ -139,11 +139,11 @@
 
 void HttpClient::Call::write()
 {
-    // Asked as late as possible: the process may have been paused between the
-    // decision to send and now.
+    // Checked as late as possible, since the process may have been paused after the decision to
+    // send.
     if (m_options.maySend && !m_options.maySend()) {
         asio::post(m_shared->context, [self = shared_from_this()] {
-            self->fail(HttpFailure::Kind::NotSent, "given up on before it was sent");
+            self->fail(HttpFailure::Kind::NotSent, "canceled before it was sent");
         });
         return;
     }
--- a/src/libweb/httpserver.cpp
+++ b/src/libweb/httpserver.cpp
@@ -23,7 +23,7 @@
     std::unordered_set<Session *> sessions;
 };
 
-/// One connection: reads a request, waits for its answer, and so on.
+/// One connection. Handles its requests one after another.
 class HttpServer::Session : public std::enable_shared_from_this<HttpServer::Session>
 {
 public:
@@ -40,25 +40,28 @@
     void closeIfIdle();
     void closeNow();
 
-    // Called by the exchange.
+    // Called by Exchange.
     const HttpRequest &request() const { return m_parser->get(); }
     void respond(HttpResponse response);
     void beginStream(HttpResponse response);
     bool write(std::string_view data);
     void endStream();
-    void setGoneCallback(std::function<void()> callback) { m_gone = std::move(callback); }
+    void setCallerGoneCallback(std::function<void()> callback)
+    {
+        m_callerGoneCallback = std::move(callback);
+    }
 
 private:
     enum class Phase : std::uint8_t { Reading, Waiting, Responding, Streaming };
 
-    void requestRead(beast::error_code error);
-    void refuseMalformed(beast::error_code error);
+    void onRequestRead(beast::error_code error);
+    void rejectMalformed(beast::error_code error);
     void watchCaller();
-    void callerGone();
+    void notifyCallerGone();
     void flush();
-    void written(beast::error_code error);
-    void answerComplete();
-    void armWriteTimeout() { m_stream.expires_after(m_shared->settings.writeTimeout); }
+    void onWritten(beast::error_code error);
+    void onAnswerComplete();
+    void startWriteTimeout() { m_stream.expires_after(m_shared->settings.writeTimeout); }
 
     beast::tcp_stream m_stream;
     std::shared_ptr<Shared> m_shared;
@@ -66,19 +69,20 @@
     std::optional<http::request_parser<http::string_body>> m_parser;
     std::optional<HttpResponse> m_response;
     std::optional<http::response_serializer<http::string_body>> m_serializer;
-    std::function<void()> m_gone;
-    std::string m_pending; ///< stream data that waits for the write under way
+    std::function<void()> m_callerGoneCallback;
+    std::string m_pending; ///< stream data to send after the active write
     std::string m_writing;
     Phase m_phase = Phase::Reading;
     bool m_writeActive = false;
     bool m_streamEnded = false;
     bool m_lastChunkSent = false;
     bool m_keepAlive = true;
-    bool m_watching = false;
+    bool m_watchingCaller = false;
     bool m_callerClosed = false;
 };
 
-/// What the handler holds: keeps the session alive, aborts if dropped.
+/// Handle of a request that is passed to the handler. Keeps the session alive, and closes the
+/// connection if it is destroyed without an answer.
 class HttpServer::Exchange : public HttpExchange
 {
 public:
@@ -88,8 +92,7 @@
     }
     ~Exchange() override
     {
-        // A handler that forgets an exchange must not leave its caller
-        // waiting for an answer that never comes.
+        // Otherwise the caller would wait forever for an answer.
         if (!m_answered)
             m_session->closeNow();
     }
@@ -121,7 +124,7 @@
     }
     void onCallerGone(std::function<void()> callback) override
     {
-        m_session->setGoneCallback(std::move(callback));
+        m_session->setCallerGoneCallback(std::move(callback));
     }
 
 private:
@@ -132,7 +135,7 @@
 void HttpServer::Session::readRequest()
 {
     m_phase = Phase::Reading;
-    m_gone = nullptr;
+    m_callerGoneCallback = nullptr;
     m_response.reset();
     m_serializer.reset();
     m_streamEnded = m_lastChunkSent = false;
@@ -142,14 +145,14 @@
     m_stream.expires_after(m_shared->settings.requestTimeout);
     http::async_read(m_stream, m_buffer, *m_parser,
                      [self = shared_from_this()](beast::error_code error, std::size_t) {
-                         self->requestRead(error);
+                         self->onRequestRead(error);
                      });
 }
 
-void HttpServer::Session::requestRead(beast::error_code error)
+void HttpServer::Session::onRequestRead(beast::error_code error)
 {
     if (error)
-        return refuseMalformed(error);
+        return rejectMalformed(error);
     m_stream.expires_never();
     m_keepAlive = m_parser->get().keep_alive();
     m_phase = Phase::Waiting;
@@ -158,7 +161,7 @@
     watchCaller();
 }
 
-void HttpServer::Session::refuseMalformed(beast::error_code error)
+void HttpServer::Session::rejectMalformed(beast::error_code error)
 {
     const auto answer = [this](http::status status, std::string_view code,
                                std::string_view message) {
@@ -175,8 +178,8 @@
         return answer(http::status::payload_too_large, "body_too_large",
                       "the body is larger than the limit");
     if (error == beast::error::timeout) {
-        // Idle between requests: nobody waits for an answer. tcp_stream has
-        // closed the socket by now in either case.
+        // The connection was idle or the request incomplete. No answer is possible, since
+        // tcp_stream has already closed the socket.
         return closeNow();
     }
     if (error == http::error::end_of_stream || error == http::error::partial_message
@@ -187,12 +190,12 @@
 
 void HttpServer::Session::watchCaller()
 {
-    if (m_watching || m_callerClosed || m_phase == Phase::Reading)
+    if (m_watchingCaller || m_callerClosed || m_phase == Phase::Reading)
         return;
-    m_watching = true;
+    m_watchingCaller = true;
     m_stream.socket().async_wait(
         tcp::socket::wait_read, [self = shared_from_this()](beast::error_code error) {
-            self->m_watching = false;
+            self->m_watchingCaller = false;
             if (error || self->m_phase == Phase::Reading)
                 return;
             char byte = 0;
@@ -201,18 +204,18 @@
             const std::size_t size = self->m_stream.socket().receive(
                 asio::buffer(&byte, 1), tcp::socket::message_peek, peekError);
             if (!peekError && size > 0)
-                return; // the next request came early; it is read in its turn
+                return; // a pipelined request; read after this one is answered
             if (peekError == asio::error::would_block)
                 return self->watchCaller();
             self->m_callerClosed = true;
-            self->callerGone();
+            self->notifyCallerGone();
         });
 }
 
-void HttpServer::Session::callerGone()
+void HttpServer::Session::notifyCallerGone()
 {
     m_keepAlive = false;
-    if (const auto callback = std::exchange(m_gone, nullptr))
+    if (const auto callback = std::exchange(m_callerGoneCallback, nullptr))
         callback();
 }
 
@@ -225,12 +228,12 @@
     response.keep_alive(m_keepAlive);
     response.prepare_payload();
     m_response.emplace(std::move(response));
-    armWriteTimeout();
+    startWriteTimeout();
     http::async_write(m_stream, *m_response,
                       [self = shared_from_this()](beast::error_code error, std::size_t) {
                           if (error)
                               return self->closeNow();
-                          self->answerComplete();
+                          self->onAnswerComplete();
                       });
 }
 
@@ -245,10 +248,10 @@
     m_response.emplace(std::move(response));
     m_serializer.emplace(*m_response);
     m_writeActive = true;
-    armWriteTimeout();
+    startWriteTimeout();
     http::async_write_header(m_stream, *m_serializer,
                              [self = shared_from_this()](beast::error_code error, std::size_t) {
-                                 self->written(error);
+                                 self->onWritten(error);
                              });
 }
 
@@ -278,49 +281,48 @@
     if (m_writeActive)
         return;
     const auto done = [self = shared_from_this()](beast::error_code error, std::size_t) {
-        self->written(error);
+        self->onWritten(error);
     };
     if (!m_pending.empty()) {
         m_writeActive = true;
         m_writing = std::exchange(m_pending, {});
-        armWriteTimeout();
+        startWriteTimeout();
         asio::async_write(m_stream, http::make_chunk(asio::buffer(m_writing)), done);
     } else if (m_streamEnded && !m_lastChunkSent) {
         m_writeActive = true;
         m_lastChunkSent = true;
-        armWriteTimeout();
+        startWriteTimeout();
         asio::async_write(m_stream, http::make_chunk_last(), done);
     } else if (m_lastChunkSent) {
-        answerComplete();
+        onAnswerComplete();
     } else {
         m_stream.expires_never();
     }
 }
 
-void HttpServer::Session::written(beast::error_code error)
+void HttpServer::Session::onWritten(beast::error_code error)
 {
     m_writeActive = false;
     if (error) {
-        callerGone();
+        notifyCallerGone();
         return closeNow();
     }
     flush();
 }
 
-void HttpServer::Session::answerComplete()
+void HttpServer::Session::onAnswerComplete()
 {
     if (!m_keepAlive || m_shared->stopping)
         return closeNow();
     beast::error_code ignored;
     m_phase = Phase::Reading;
-    m_stream.socket().cancel(ignored); // ends the watch on the caller
+    m_stream.socket().cancel(ignored); // stops watchCaller()
     readRequest();
 }
 
 void HttpServer::Session::closeIfIdle()
 {
-    // A request that has begun to arrive is read and answered; only a
-    // connection with nothing on it is closed.
+    // If part of a request has been received, the request is read and answered first.
     if (m_phase == Phase::Reading && !m_parser->got_some() && m_buffer.size() == 0)
         closeNow();
 }
@@ -328,7 +330,7 @@
 void HttpServer::Session::closeNow()
 {
     beast::error_code ignored;
-    m_gone = nullptr;
+    m_callerGoneCallback = nullptr;
     m_stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
     m_stream.close();
 }
@@ -355,7 +357,7 @@
     m_acceptor.open(endpoint->protocol(), error);
     if (!error)
         m_acceptor.set_option(asio::socket_base::reuse_address(true), error);
-    // Several traffic threads of one process listen on the same address.
+    // Several threads of one process listen on the same address, each with its own server.
     using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
     if (!error && endpoint->port() != 0)
         m_acceptor.set_option(ReusePort(true), error);
