--- a/src/libpeer/peercodec.cpp
+++ b/src/libpeer/peercodec.cpp
@@ -26,7 +26,7 @@
     return true;
 }
 
-/// A digest travels as bytes: half the size of its hex digits.
+/// Converts a digest from hex digits to bytes, which halves its size on the wire.
 std::string hexToBytes(std::string_view hex)
 {
     std::string bytes;
--- a/src/libpeer/tableupdate.cpp
+++ b/src/libpeer/tableupdate.cpp
@@ -1,6 +1,6 @@
 #include <balsamloft/tableupdate.h>
 
-#include "newsrows.h"
+#include "rowcodec.h"
 
 #include <zlib.h>
 
@@ -29,7 +29,7 @@
 {
     wire::RowList list;
     for (const StoreRow &row : rows)
-        putRow(row, *list.add_rows());
+        encodeRow(row, *list.add_rows());
     return list;
 }
 
@@ -79,7 +79,7 @@
         return std::nullopt;
     std::vector<StoreRow> rows;
     for (const wire::NewsRow &row : list.rows())
-        rows.push_back(rowOf(row));
+        rows.push_back(decodeRow(row));
     return rows;
 }
 
