--- a/src/libbalsamloft/pollschedule.cpp
+++ b/src/libbalsamloft/pollschedule.cpp
@@ -9,10 +9,9 @@
 constexpr Duration DefaultInterval {1'000'000};
 
 /// The requests that a domain sends within one second can fill an engine that was half empty
-/// at its last report, and the engine then refuses requests: polled every second instead of
-/// every 0.25 s, engines at three times their typical load refused 1.5 times as many requests,
-/// and 60 % instead of 77 % of the requests were on time. Polling all engines at this interval
-/// would cost four times as many queries.
+/// at its last report. With one poll per second, engines at three times their typical load
+/// refuse 1.5 times as many requests, and 60 % instead of 77 % of the requests are on time.
+/// Polling all engines at this interval would cost four times as many queries.
 constexpr Duration ShortInterval {250'000};
 
 /// Fractions of the capacity.
