--- a/src/balsamloft/adminclient.cpp
+++ b/src/balsamloft/adminclient.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Duration Timeout {30'000'000};
+constexpr Duration RequestTimeout {30'000'000};
 
 } // namespace
 
@@ -43,7 +43,7 @@
     request.body() = body;
     HttpResult result;
     HttpClient::Options options;
-    options.timeout = Timeout;
+    options.timeout = RequestTimeout;
     client.send(m_address, std::move(request), options,
                 [&](HttpResult received) { result = std::move(received); });
     context.run();
@@ -56,7 +56,8 @@
     json::error_code error;
     const json::value value = json::parse(result.response->body(), error);
     if (error || !value.is_object()) {
-        m_reason = m_address + " gave an answer that is not JSON; is it an admin listener?";
+        m_reason =
+            m_address + " returned a response that is not a JSON object; is it an admin listener?";
         return std::nullopt;
     }
     answer.body = value.get_object();
--- a/src/balsamloft/adminclient.h
+++ b/src/balsamloft/adminclient.h
@@ -1,5 +1,5 @@
 /// \file
-/// Asks a daemon's admin listener, one request at a time.
+/// Synchronous client for the admin listener of a daemon.
 
 #pragma once
 
@@ -11,25 +11,26 @@
 
 namespace balsamloft {
 
-/// A daemon's answer.
+/// Status and JSON body of a daemon's answer.
 struct AdminAnswer
 {
     unsigned status = 0;
     boost::json::object body;
 };
 
-/// Speaks to one daemon.
+/// Sends requests to the admin listener of one daemon, one at a time.
 class AdminClient
 {
 public:
     /// \a address is "IP:port" of a daemon's admin listener.
     AdminClient(std::string address, std::string token);
 
-    /// Returns nothing and leaves a reason when the daemon cannot be reached.
+    /// Returns nothing if the daemon is unreachable or its answer is not a JSON object;
+    /// lastReason() then gives the reason.
     std::optional<AdminAnswer> get(std::string_view path);
     std::optional<AdminAnswer> post(std::string_view path, const boost::json::object &body);
 
-    /// Why the last call returned nothing.
+    /// Reason for the last call that returned nothing.
     const Reason &lastReason() const { return m_reason; }
 
 private:
--- a/src/balsamloft/logreport.h
+++ b/src/balsamloft/logreport.h
@@ -1,5 +1,5 @@
 /// \file
-/// Explains requests from log lines of any number of instances.
+/// Explains the outcome of requests from the log lines of any number of instances.
 
 #pragma once
 
@@ -12,14 +12,14 @@
 
 namespace balsamloft {
 
-/// One log line, as far as reports need it.
+/// The fields of a log line that the reports use.
 struct LogLine
 {
-    std::int64_t atMs = 0; ///< on a clock common to all instances, as far as can be told
-    std::int64_t wallMs = 0; ///< as written; jumps when the instance's clock does
+    std::int64_t atMs = 0; ///< estimated time on a clock common to all instances
+    std::int64_t wallMs = 0; ///< wall clock time as logged; jumps with the instance's clock
     std::int64_t upMs = 0; ///< on the instance's steady clock
     std::string instance;
-    std::size_t process = 0; ///< which process of the instance wrote it, in the order of lines
+    std::size_t process = 0; ///< number of the instance's process, counted by its starts in the log
     std::string domain;
     std::string part;
     std::string event;
@@ -30,46 +30,49 @@
     std::int64_t status = 0;
     std::int64_t durationMs = 0;
     bool late = false;
-    std::string gapsEverywhere; ///< of a line that tells which layers nobody holds
-    std::string text; ///< the line itself
+    std::string
+        gapsEverywhere; ///< layers that no engine of the fleet holds; set by "coverage" lines
+    std::string text; ///< the JSON text of the line
 };
 
-/// Lines of the log, in the order of time.
+/// Log lines of several instances, ordered by time.
 class LogReport
 {
 public:
-    /// Reads lines; text before the first brace of a line is left out, and lines
-    /// that are no JSON object are counted only.
+    /// Reads lines. Text before the first brace of a line is ignored; lines without a JSON
+    /// object are only counted.
     void read(std::istream &stream);
 
-    /// What became of \a request, cause first, then what the instance believed
-    /// around that time. Empty when no line names it.
+    /// Returns the outcome of \a request, its cause first, followed by other log lines of the
+    /// instance around that time. Empty if no line contains the request.
     std::string explain(std::string_view request) const;
 
-    /// What each cause cost: a table by cause and domain, with what no router
-    /// could have served apart, then a line for each second, for plots. A request
-    /// that is late counts as three quarters lost, one that is not served as lost.
+    /// Returns the lost requests by cause and by domain, with the avoidable and the unavoidable
+    /// total, then one line per second for plots. A late request counts as three quarters of a
+    /// lost request. A loss is unavoidable if the caller or the endpoint caused it, or if no
+    /// engine held some layer when the request started.
     std::string losses() const;
 
-    /// Causes of requests that did not go well: by kind, domain and second.
+    /// Returns the number of unsuccessful requests by cause, domain and second.
     std::string summary() const;
 
     std::size_t lines() const { return m_lines.size(); }
     std::size_t unreadable() const { return m_unreadable; }
 
 private:
-    void order();
-    std::vector<std::pair<std::int64_t, bool>> uncoveredSince() const;
-    std::string rejecting() const;
-    std::string storeCalls() const;
+    void sortByTime();
+    std::vector<std::pair<std::int64_t, bool>> coverageChanges() const;
+    std::string rejectionReport() const;
+    std::string storeCallReport() const;
 
     std::vector<LogLine> m_lines;
     std::size_t m_unreadable = 0;
-    std::map<std::string_view, std::int64_t> m_storeCalls; ///< by use
-    std::map<std::string, std::size_t> m_processes; ///< seen of each instance
+    std::map<std::string_view, std::int64_t> m_storeCalls; ///< by purpose
+    std::map<std::string, std::size_t> m_processes; ///< processes seen, by instance
 };
 
-/// The cause of a line that ends a request, in words, without ids.
+/// Returns the cause of a request's outcome as text without ids. \a line reports the end of the
+/// request.
 std::string causeOf(const LogLine &line);
 
 } // namespace balsamloft
--- a/src/balsamloft/main.cpp
+++ b/src/balsamloft/main.cpp
@@ -1,4 +1,5 @@
-// The operators' command line: talks to any daemon's admin listener.
+// Command line for operators: sends requests to the admin listener of a daemon and evaluates log
+// lines from standard input.
 
 #include "adminclient.h"
 #include "logreport.h"
@@ -16,16 +17,17 @@
 #include <sstream>
 
 DEFINE_string(admin, "127.0.0.1:8081", "IP:port of a daemon's admin listener");
-DEFINE_string(operator_token, "", "the operators' token (better set by the variable)");
-DEFINE_string(output, "text", "form of the output: text or json");
-DEFINE_bool(dry_run, false, "show what a change would do, and change nothing");
-DEFINE_int64(base, -1, "version that the change is based on; -1: the newest");
-DEFINE_string(author, "", "who makes the change, for the audit trail");
-DEFINE_string(summary, "", "why the change is made, for the audit trail");
-DEFINE_string(change_id, "", "id of the change; give it again to learn what became of it");
-DEFINE_int64(limit, 50, "most changes listed");
-DEFINE_int64(from, -1, "diff: version to start from");
-DEFINE_int64(to, -1, "diff: version to end with; -1: the newest");
+DEFINE_string(operator_token, "",
+              "the operators' token (preferably set by the environment variable)");
+DEFINE_string(output, "text", "output format: text or json");
+DEFINE_bool(dry_run, false, "show the effect of a change without applying it");
+DEFINE_int64(base, -1, "version that the change is based on; -1: the latest");
+DEFINE_string(author, "", "author of the change, for the audit trail");
+DEFINE_string(summary, "", "reason for the change, for the audit trail");
+DEFINE_string(change_id, "", "id of the change; repeating the command with it gives the outcome");
+DEFINE_int64(limit, 50, "maximum number of changes listed");
+DEFINE_int64(from, -1, "diff: first version of the comparison");
+DEFINE_int64(to, -1, "diff: second version of the comparison; -1: the latest");
 
 namespace balsamloft {
 
@@ -53,27 +55,30 @@
   balsamloft rules apply FILE         replace the rules
   balsamloft config show [VERSION]    show the configuration
   balsamloft config history           list the accepted changes
-  balsamloft config diff --from=N     show what changed since a version
-  balsamloft config rollback VERSION  go back, as a new version
-  balsamloft audit                    the changes with authors and diffs
-  balsamloft status                   the instance and the fleet
-  balsamloft endpoints                endpoints as the instance sees them
-  balsamloft explain REQUEST-ID       why a request went where it went
-  balsamloft logs explain REQUEST-ID  the same from log lines of balsamloft-entry on standard input
-  balsamloft logs losses              what each cause cost, and a line for each second
-  balsamloft logs summary             causes of failure in log lines on standard input
-  balsamloft placement                what free engines hold, and why
+  balsamloft config diff --from=N     show the changes since a version
+  balsamloft config rollback VERSION  restore a version as a new version
+  balsamloft audit                    list the accepted changes with their diffs
+  balsamloft status                   show the instance and the members of the fleet
+  balsamloft endpoints                show the endpoints and their state on the instance
+  balsamloft explain REQUEST-ID       show the routing decisions for a request
+  balsamloft logs explain REQUEST-ID  show the outcome of a request, from log lines of
+                                      balsamloft-entry on standard input
+  balsamloft logs losses              show lost requests by cause and by second, from log lines
+                                      on standard input
+  balsamloft logs summary             show the number of failures by cause, from log lines on
+                                      standard input
+  balsamloft placement                show the models on the free engines and the reasons
   balsamloft drain                    stop the instance gracefully
 
 Exit codes: 0 done, 1 usage, 2 invalid document or settings, 3 conflict with
-another change, 4 platform unavailable (nothing changed), 5 unknown outcome (ask
-again with the same --change_id), 6 wrong token, 7 daemon not reached,
+another change, 4 platform unavailable (nothing changed), 5 unknown outcome (repeat
+the command with the same --change_id), 6 wrong token, 7 daemon unreachable,
 8 not found.
 
 Flags:
 )";
 
-/// Runs one command against one daemon.
+/// Runs a command against the admin listener of a daemon.
 class Commands
 {
 public:
@@ -82,13 +87,13 @@
     {
     }
 
-    int run(std::span<const std::string> words);
+    int run(std::span<const std::string> arguments);
 
 private:
     using Command = int (Commands::*)(const std::string &argument);
     struct Row
     {
-        std::vector<std::string_view> words;
+        std::vector<std::string_view> name;
         Command command;
         bool needsArgument;
     };
@@ -107,7 +112,7 @@
     int logsExplain(const std::string &request);
     int logsSummary(const std::string &unused);
     int logsLosses(const std::string &unused);
-    int printLogs(std::string (LogReport::*text)() const);
+    int printLogReport(std::string (LogReport::*text)() const);
     int placement(const std::string &);
     int drain(const std::string &);
 
@@ -115,9 +120,9 @@
     int apply(std::string_view section, const std::string &file);
     boost::json::object proposal() const;
     int showOutcome(const std::optional<AdminAnswer> &answer, std::string_view place);
-    int listChanges(bool withEdits);
+    int showChanges(bool withEdits);
 
-    /// Prints what is wrong, if anything is; otherwise returns ExitOk.
+    /// Prints the error of \a answer, if any, and returns the matching exit code.
     int check(const std::optional<AdminAnswer> &answer);
 
     AdminClient m_client;
@@ -141,24 +146,24 @@
     {{"drain"}, &Commands::drain, false},
 };
 
-int Commands::run(std::span<const std::string> words)
+int Commands::run(std::span<const std::string> arguments)
 {
     for (const Row &row : s_commands) {
-        if (words.size() < row.words.size()
-            || !std::equal(row.words.begin(), row.words.end(), words.begin()))
+        if (arguments.size() < row.name.size()
+            || !std::equal(row.name.begin(), row.name.end(), arguments.begin()))
             continue;
-        const auto rest = words.subspan(row.words.size());
+        const auto rest = arguments.subspan(row.name.size());
         if (rest.size() > 1 || (row.needsArgument && rest.empty())) {
             std::cerr << "balsamloft: wrong number of arguments; see --help\n";
             return ExitUsage;
         }
         return (this->*row.command)(rest.empty() ? std::string() : rest.front());
     }
-    std::cerr << "balsamloft: no such command; see --help\n";
+    std::cerr << "balsamloft: unknown command; see --help\n";
     return ExitUsage;
 }
 
-bool jsonWanted()
+bool jsonOutput()
 {
     return FLAGS_output == "json";
 }
@@ -257,7 +262,7 @@
     if (!answer || answer->body.contains("error"))
         return code;
     const boost::json::object &body = answer->body;
-    if (jsonWanted()) {
+    if (jsonOutput()) {
         printJson(body);
         return code;
     }
@@ -285,13 +290,13 @@
     return code;
 }
 
-int Commands::listChanges(bool withEdits)
+int Commands::showChanges(bool withEdits)
 {
     const auto answer = m_client.get("/admin/v1/history?limit=" + std::to_string(FLAGS_limit));
     const int code = check(answer);
     if (code != ExitOk)
         return code;
-    if (jsonWanted())
+    if (jsonOutput())
         printJson(answer->body);
     else
         std::cout << renderHistory(answer->body.at("changes").as_array(), withEdits);
@@ -300,12 +305,12 @@
 
 int Commands::history(const std::string &)
 {
-    return listChanges(false);
+    return showChanges(false);
 }
 
 int Commands::audit(const std::string &)
 {
-    return listChanges(true);
+    return showChanges(true);
 }
 
 int Commands::diff(const std::string &)
@@ -321,7 +326,7 @@
     const int code = check(answer);
     if (code != ExitOk)
         return code;
-    if (jsonWanted())
+    if (jsonOutput())
         printJson(answer->body);
     else
         std::cout << renderEdits(answer->body.at("edits").as_array());
@@ -334,7 +339,7 @@
     const int code = check(answer);
     if (code != ExitOk)
         return code;
-    if (jsonWanted()) {
+    if (jsonOutput()) {
         printJson(answer->body);
         return code;
     }
@@ -352,7 +357,7 @@
     const int code = check(answer);
     if (code != ExitOk)
         return code;
-    if (jsonWanted())
+    if (jsonOutput())
         printJson(answer->body);
     else
         std::cout << renderTable(answer->body.at("endpoints").as_array(),
@@ -367,7 +372,7 @@
     report.read(std::cin);
     const std::string text = report.explain(request);
     if (text.empty()) {
-        std::cerr << "balsamloft: no line names request '" << request << "' (" << report.lines()
+        std::cerr << "balsamloft: no line contains request '" << request << "' (" << report.lines()
                   << " lines read, " << report.unreadable() << " unreadable)\n";
         return ExitNotFound;
     }
@@ -375,7 +380,7 @@
     return ExitOk;
 }
 
-int Commands::printLogs(std::string (LogReport::*text)() const)
+int Commands::printLogReport(std::string (LogReport::*text)() const)
 {
     LogReport report;
     report.read(std::cin);
@@ -385,12 +390,12 @@
 
 int Commands::logsSummary(const std::string & /*unused*/)
 {
-    return printLogs(&LogReport::summary);
+    return printLogReport(&LogReport::summary);
 }
 
 int Commands::logsLosses(const std::string & /*unused*/)
 {
-    return printLogs(&LogReport::losses);
+    return printLogReport(&LogReport::losses);
 }
 
 int Commands::explain(const std::string &request)
@@ -408,7 +413,7 @@
     const int code = check(answer);
     if (code != ExitOk)
         return code;
-    if (jsonWanted()) {
+    if (jsonOutput()) {
         printJson(answer->body);
         return code;
     }
@@ -416,7 +421,7 @@
         std::cout << plainText(line) << '\n';
     const auto *holder = answer->body.if_contains("holder");
     if (holder && !answer->body.at("holds_lease").as_bool())
-        std::cout << "the lease is held by " << plainText(*holder) << "; ask that instance\n";
+        std::cout << "the lease is held by " << plainText(*holder) << "; query that instance\n";
     return code;
 }
 
