--- a/src/balsamloft/logreport.cpp
+++ b/src/balsamloft/logreport.cpp
@@ -159,9 +159,8 @@
     return result;
 }
 
-/// Returns the times at which the fleet's coverage changed: true from when on at least one layer
-/// is held by no engine of the fleet, false from when on every layer is held. The latest
-/// "coverage" line of any instance applies.
+/// Returns the times at which the coverage of the fleet changed, each with whether some layer is
+/// held by no engine of the fleet from then on. The latest "coverage" line of any instance applies.
 std::vector<std::pair<std::int64_t, bool>> LogReport::coverageChanges() const
 {
     std::vector<std::pair<std::int64_t, bool>> changes;
@@ -187,7 +186,7 @@
 };
 
 /// Whether the caller or the endpoint caused the failure.
-bool outsideRouter(const LogLine &line)
+bool causedOutsideRouter(const LogLine &line)
 {
     return line.outcome == "caller gone"
            || (line.outcome == "passed" && line.status >= FirstErrorStatus);
@@ -252,7 +251,7 @@
             std::upper_bound(changes.begin(), changes.end(), startMs,
                              [](std::int64_t at, const auto &each) { return at < each.first; });
         const bool uncovered = after != changes.begin() && std::prev(after)->second;
-        (outsideRouter(line) || uncovered ? unavoidable : avoidable) += lost;
+        (causedOutsideRouter(line) || uncovered ? unavoidable : avoidable) += lost;
         for (Loss *each : {&causes[causeOf(line)], &domains[line.domain]}) {
             each->count += 1;
             each->lost += lost;
--- a/src/balsamloft/logreport.h
+++ b/src/balsamloft/logreport.h
@@ -19,7 +19,7 @@
     std::int64_t wallMs = 0; ///< wall clock time as logged; jumps with the instance's clock
     std::int64_t upMs = 0; ///< on the instance's steady clock
     std::string instance;
-    std::size_t process = 0; ///< number of the instance's process, counted by its starts in the log
+    std::size_t process = 0; ///< number of "started" lines of the instance so far
     std::string domain;
     std::string part;
     std::string event;
@@ -30,8 +30,7 @@
     std::int64_t status = 0;
     std::int64_t durationMs = 0;
     bool late = false;
-    std::string
-        gapsEverywhere; ///< layers that no engine of the fleet holds; set by "coverage" lines
+    std::string gapsEverywhere; ///< of "coverage" lines: layers that no engine of the fleet holds
     std::string text; ///< the JSON text of the line
 };
 
--- a/src/balsamloft/main.cpp
+++ b/src/balsamloft/main.cpp
@@ -78,7 +78,7 @@
 Flags:
 )";
 
-/// Runs a command against the admin listener of a daemon.
+/// Runs a command: a request to the admin listener of a daemon, or a report on log lines.
 class Commands
 {
 public:
@@ -272,7 +272,7 @@
                   << (value.empty() ? "" : value + ": ") << plainText(problem.at("advice")) << '\n';
     }
     for (const auto &path : body.at("conflicts").as_array())
-        std::cerr << "changed by another: " << plainText(path) << '\n';
+        std::cerr << "conflicting change: " << plainText(path) << '\n';
     std::cerr << renderHistory(body.at("changed_since").as_array(), true);
     std::cout << renderEdits(body.at("edits").as_array());
     std::cout << plainText(body.at("outcome")) << ": version " << plainText(body.at("version"))
--- a/src/balsamloftd/adminserver.cpp
+++ b/src/balsamloftd/adminserver.cpp
@@ -36,12 +36,12 @@
     respond(exchange, status, {{"error", {{"code", code}, {"message", message}}}});
 }
 
-std::string_view query(const HttpExchangePtr &exchange, std::string_view name)
+std::string_view queryValue(const HttpExchangePtr &exchange, std::string_view name)
 {
     return queryParameter(exchange->request(), name);
 }
 
-std::optional<std::uint64_t> number(std::string_view text)
+std::optional<std::uint64_t> parseUnsigned(std::string_view text)
 {
     std::uint64_t value = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -50,7 +50,7 @@
     return value;
 }
 
-json::value textOrNull(const std::optional<std::string> &text)
+json::value stringOrNull(const std::optional<std::string> &text)
 {
     return text ? json::value(*text) : json::value(nullptr);
 }
@@ -60,8 +60,8 @@
     json::array result;
     for (const ConfigEdit &edit : edits)
         result.push_back({{"path", edit.path},
-                          {"before", textOrNull(edit.before)},
-                          {"after", textOrNull(edit.after)}});
+                          {"before", stringOrNull(edit.before)},
+                          {"after", stringOrNull(edit.after)}});
     return result;
 }
 
@@ -73,6 +73,7 @@
             {"edits", editsJson(change.edits)}};
 }
 
+/// Code and HTTP status that report the outcome of a proposal.
 struct OutcomeRow
 {
     ProposalOutcome::Kind kind;
@@ -140,21 +141,21 @@
     return document;
 }
 
-std::string optionalText(const json::object &body, std::string_view key)
+std::string stringMember(const json::object &body, std::string_view key)
 {
     const json::value *value = body.if_contains(key);
     return value && value->is_string() ? std::string(value->get_string()) : std::string();
 }
 
-/// Takes a global request id apart: INSTANCE-INCARNATION-WORKER-NUMBER.
+/// Parts of a global request id: INSTANCE-INCARNATION-WORKER-NUMBER.
 struct RequestIdParts
 {
-    std::string instance; ///< with the incarnation
+    std::string instance; ///< INSTANCE-INCARNATION
     std::uint64_t worker = 0;
     RequestId number = 0;
 };
 
-std::optional<RequestIdParts> splitRequestId(std::string_view id)
+std::optional<RequestIdParts> parseRequestId(std::string_view id)
 {
     const auto last = id.rfind('-');
     if (last == std::string_view::npos || last == 0)
@@ -162,8 +163,8 @@
     const auto middle = id.rfind('-', last - 1);
     if (middle == std::string_view::npos)
         return std::nullopt;
-    const auto worker = number(id.substr(middle + 1, last - middle - 1));
-    const auto request = number(id.substr(last + 1));
+    const auto worker = parseUnsigned(id.substr(middle + 1, last - middle - 1));
+    const auto request = parseUnsigned(id.substr(last + 1));
     if (!worker || !request)
         return std::nullopt;
     return RequestIdParts {std::string(id.substr(0, middle)), *worker, *request};
@@ -205,8 +206,9 @@
 void AdminServer::handle(const HttpExchangePtr &exchange)
 {
     if (!authorized(exchange))
-        return respondError(exchange, http::status::unauthorized, "unauthorized",
-                            "send Authorization: Bearer with the operators' token");
+        return respondError(
+            exchange, http::status::unauthorized, "unauthorized",
+            "the header Authorization: Bearer with the operators' token is required");
     const auto method = exchange->request().method_string();
     bool pathKnown = false;
     for (const Route &route : s_routes) {
@@ -218,22 +220,22 @@
     }
     if (pathKnown)
         return respondError(exchange, http::status::method_not_allowed, "method_not_allowed",
-                            "this path has another method");
-    respondError(exchange, http::status::not_found, "not_found", "there is nothing at this path");
+                            "the method is not allowed for this path");
+    respondError(exchange, http::status::not_found, "not_found", "unknown path");
 }
 
 void AdminServer::showConfig(const HttpExchangePtr &exchange)
 {
-    const ConfigManager &keeper = m_control.configuration();
-    const std::string_view wanted = query(exchange, "version");
-    const auto version = wanted.empty() ? keeper.head().version : number(wanted);
-    const auto entries = version ? keeper.entriesAt(*version) : std::nullopt;
+    const ConfigManager &config = m_control.configuration();
+    const std::string_view versionText = queryValue(exchange, "version");
+    const auto version = versionText.empty() ? config.head().version : parseUnsigned(versionText);
+    const auto entries = version ? config.entriesAt(*version) : std::nullopt;
     if (!entries)
         return respondError(exchange, http::status::not_found, "no_such_version",
-                            "that version is not within the history kept here");
+                            "the version is not in the retained history");
     respond(exchange, http::status::ok,
             {{"version", *version},
-             {"digest", *version == keeper.head().version ? keeper.head().digest : std::string()},
+             {"digest", *version == config.head().version ? config.head().digest : std::string()},
              {"inventory", entriesJson(*entries, "inventory/")},
              {"rules", entriesJson(*entries, "rules/")}});
 }
@@ -241,9 +243,9 @@
 bool AdminServer::readProposal(const json::object &body, const HttpExchangePtr &exchange,
                                ConfigProposal &proposal) const
 {
-    proposal.id = optionalText(body, "id");
-    proposal.author = optionalText(body, "author");
-    proposal.summary = optionalText(body, "summary");
+    proposal.id = stringMember(body, "id");
+    proposal.author = stringMember(body, "author");
+    proposal.summary = stringMember(body, "summary");
     if (proposal.id.empty()) {
         respondError(exchange, http::status::bad_request, "invalid", "\"id\" is required");
         return false;
@@ -280,8 +282,8 @@
     ConfigProposal proposal;
     if (!readProposal(body.get_object(), exchange, proposal))
         return;
-    const std::string section = optionalText(body.get_object(), "section");
-    const std::string document = optionalText(body.get_object(), "document");
+    const std::string section = stringMember(body.get_object(), "section");
+    const std::string document = stringMember(body.get_object(), "document");
     ProposalOutcome outcome;
     if (section == "inventory")
         proposal.entries = parseInventory(document, outcome.problems);
@@ -307,7 +309,7 @@
         !error && body.is_object() ? body.get_object().if_contains("version") : nullptr;
     if (!version || !version->is_int64() || version->get_int64() < 0)
         return respondError(exchange, http::status::bad_request, "invalid",
-                            "\"version\" must be the version to go back to");
+                            "\"version\" must be the number of the version to restore");
     ConfigProposal proposal;
     if (!readProposal(body.get_object(), exchange, proposal))
         return;
@@ -317,7 +319,7 @@
 
 void AdminServer::history(const HttpExchangePtr &exchange)
 {
-    const auto limit = number(query(exchange, "limit")).value_or(DefaultHistoryLimit);
+    const auto limit = parseUnsigned(queryValue(exchange, "limit")).value_or(DefaultHistoryLimit);
     const auto &changes = m_control.configuration().history();
     json::array result;
     for (auto it = changes.rbegin(); it != changes.rend() && result.size() < limit; ++it)
@@ -327,14 +329,14 @@
 
 void AdminServer::diff(const HttpExchangePtr &exchange)
 {
-    const ConfigManager &keeper = m_control.configuration();
-    const auto from = number(query(exchange, "from"));
-    const auto to = number(query(exchange, "to")).value_or(keeper.head().version);
-    const auto before = from ? keeper.entriesAt(*from) : std::nullopt;
-    const auto after = keeper.entriesAt(to);
+    const ConfigManager &config = m_control.configuration();
+    const auto from = parseUnsigned(queryValue(exchange, "from"));
+    const auto to = parseUnsigned(queryValue(exchange, "to")).value_or(config.head().version);
+    const auto before = from ? config.entriesAt(*from) : std::nullopt;
+    const auto after = config.entriesAt(to);
     if (!before || !after)
         return respondError(exchange, http::status::not_found, "no_such_version",
-                            "give from= and to= within the history kept here");
+                            "from= and to= must be versions in the retained history");
     respond(exchange, http::status::ok, {{"edits", editsJson(diffEntries(*before, *after, ""))}});
 }
 
@@ -361,16 +363,16 @@
 
 void AdminServer::status(const HttpExchangePtr &exchange)
 {
-    const ConfigManager &keeper = m_control.configuration();
+    const ConfigManager &config = m_control.configuration();
     respond(exchange, http::status::ok,
             {{"instance", m_control.settings().name},
              {"domain", m_control.settings().domain},
-             {"version", keeper.head().version},
-             {"digest", keeper.head().digest},
+             {"version", config.head().version},
+             {"digest", config.head().digest},
              {"ready", m_control.ready()},
-             {"platform_reachable", keeper.platformReachable()},
-             {"forks_seen", keeper.forksSeen()},
-             {"claims_unsettled", m_control.unsettledClaims()},
+             {"platform_reachable", config.platformReachable()},
+             {"forks_seen", config.forksSeen()},
+             {"claims_unsettled", m_control.unresolvedClaims()},
              {"holds_placement_lease", m_control.lease().holds(steadyNow())},
              {"placement_lease_holder", m_control.lease().lastSeenHolder()},
              {"members", membersJson()}});
@@ -401,21 +403,22 @@
 
 void AdminServer::explain(const HttpExchangePtr &exchange)
 {
-    const auto parts = splitRequestId(query(exchange, "request"));
+    const auto parts = parseRequestId(queryValue(exchange, "request"));
     if (!parts || parts->worker >= m_control.workers().size())
         return respondError(exchange, http::status::bad_request, "invalid",
-                            "request= must be the value of a Balsamloft-Request-Id");
+                            "request= must be the value of a Balsamloft-Request-Id header");
     const std::string own =
         m_control.settings().name + "-" + std::to_string(m_control.incarnation());
     if (parts->instance != own)
         return respondError(exchange, http::status::not_found, "other_instance",
-                            "that request was handled by " + parts->instance + ", this is " + own);
+                            "the request was handled by " + parts->instance
+                                + ", not by this process " + own);
     m_control.workers()[parts->worker]->explain(
         parts->number, [this, exchange](std::vector<std::string> lines) {
             boost::asio::post(m_control.context(), [exchange, lines = std::move(lines)] {
                 if (lines.empty())
                     return respondError(exchange, http::status::not_found, "forgotten",
-                                        "nothing is remembered of that request");
+                                        "no record of the request is retained");
                 json::array result;
                 for (const std::string &line : lines)
                     result.emplace_back(line);
--- a/src/balsamloftd/adminserver.h
+++ b/src/balsamloftd/adminserver.h
@@ -1,5 +1,5 @@
 /// \file
-/// The operators' interface: `/admin/v1/...` on a listener of its own.
+/// The HTTP interface for operators: `/admin/v1/...` on a separate listener.
 
 #pragma once
 
@@ -12,12 +12,13 @@
 class ControlPlane;
 struct ConfigProposal;
 
-/// Answers operators on the control thread.
+/// Answers requests of operators on the control thread.
 class AdminServer
 {
 public:
     explicit AdminServer(ControlPlane &control);
 
+    /// Opens the listener. Returns false and sets \a reason on failure.
     bool listen(std::string_view address, Reason &reason);
     std::uint16_t port() const { return m_server.port(); }
 
@@ -46,6 +47,7 @@
     void drain(const HttpExchangePtr &exchange);
     boost::json::array membersJson() const;
 
+    /// Reads the fields common to all proposals. Returns false after answering with an error.
     bool readProposal(const boost::json::object &body, const HttpExchangePtr &exchange,
                       ConfigProposal &proposal) const;
     void submit(ConfigProposal proposal, const HttpExchangePtr &exchange);
--- a/src/balsamloftd/controlactions.cpp
+++ b/src/balsamloftd/controlactions.cpp
@@ -1,4 +1,4 @@
-// What the control thread does for each action of its state machines.
+// Performs the actions of the control thread's state machines.
 
 #include "controlplane.h"
 
@@ -65,7 +65,7 @@
 {
     m_platform->putObject(std::string(SnapshotObject), std::move(action.content), [](bool written) {
         if (!written)
-            log(LogLevel::Warning, "config", "the snapshot could not be written");
+            log(LogLevel::Warning, "config", "cannot write the configuration snapshot");
     });
 }
 
@@ -81,7 +81,8 @@
 
 void ControlPlane::operator()(SetEndpointLeaving &action)
 {
-    log(LogLevel::Info, "members", action.leaving ? "endpoint is leaving" : "endpoint is back",
+    log(LogLevel::Info, "members",
+        action.leaving ? "endpoint is leaving" : "endpoint is no longer leaving",
         {{"endpoint", action.endpoint}});
     for (TrafficWorker *worker : m_workers)
         worker->setLeaving(action.endpoint, action.leaving);
@@ -89,7 +90,7 @@
 
 void ControlPlane::operator()(MemberChanged &action)
 {
-    log(LogLevel::Info, "members", "changed",
+    log(LogLevel::Info, "members", "member state changed",
         {{"member", action.status.name}, {"state", std::string(toString(action.status.state))}});
 }
 
@@ -126,14 +127,15 @@
 void ControlPlane::operator()(InstallConfig &action)
 {
     const ConfigHead &head = action.config->head();
-    log(LogLevel::Info, "config", "in force",
+    log(LogLevel::Info, "config", "configuration installed",
         {{"version", std::to_string(head.version)}, {"digest", head.digest.substr(0, 12)}});
-    m_inForce = action.config;
+    m_currentConfig = action.config;
     m_membership.setHead(head);
     m_membership.setInventory(action.config->instances());
     for (TrafficWorker *worker : m_workers) {
         worker->installConfig(action.config);
-        // An endpoint that is new to the thread may be known to be leaving.
+        // Membership may have recorded an endpoint as leaving before the configuration of this
+        // thread contained it.
         for (const Endpoint &endpoint : action.config->endpoints()) {
             if (m_membership.endpointLeaving(endpoint.name))
                 worker->setLeaving(endpoint.name, true);
--- a/src/balsamloftd/controlplacement.cpp
+++ b/src/balsamloftd/controlplacement.cpp
@@ -1,4 +1,5 @@
-// Placement: what engines show, the orders to them, and the changes proposed.
+// Placement: queries the state of engines, sends orders to them and proposes configuration
+// changes.
 
 #include "controlplane.h"
 
@@ -11,9 +12,9 @@
 
 namespace {
 
-constexpr Duration EngineTimeout {1'000'000};
+constexpr Duration EngineRequestTimeout {1'000'000};
 
-/// Reads an engine's answer to "what do you hold".
+/// Parses an engine's answer to `GET /v1/state`: its model, its layers and whether it is loading.
 std::optional<ObservedEngine> readEngineState(const std::string &name, const HttpResult &result)
 {
     if (!result.response || result.response->result_int() != 200)
@@ -28,38 +29,38 @@
         || layers->get_array().size() != 2 || !layers->at(0).is_int64()
         || !layers->at(1).is_int64())
         return std::nullopt;
-    ObservedEngine seen;
-    seen.engine = name;
-    seen.model = std::string(model->get_string());
-    seen.layers = {static_cast<std::uint32_t>(layers->at(0).get_int64()),
-                   static_cast<std::uint32_t>(layers->at(1).get_int64())};
-    seen.loading = loading && loading->is_bool() && loading->get_bool();
-    return seen;
+    ObservedEngine observed;
+    observed.engine = name;
+    observed.model = std::string(model->get_string());
+    observed.layers = {static_cast<std::uint32_t>(layers->at(0).get_int64()),
+                       static_cast<std::uint32_t>(layers->at(1).get_int64())};
+    observed.loading = loading && loading->is_bool() && loading->get_bool();
+    return observed;
 }
 
 } // namespace
 
 void ControlPlane::observeEngines()
 {
-    if (!m_inForce)
+    if (!m_currentConfig)
         return;
     for (const std::string &name :
-         PlacementManager::placeableEngines(*m_inForce, m_settings.domain)) {
+         PlacementManager::placeableEngines(*m_currentConfig, m_settings.domain)) {
         HttpRequest request(http::verb::get, "/v1/state", 11);
         HttpClient::Options options;
-        options.timeout = EngineTimeout;
-        m_engineClient.send(m_inForce->endpoint(name)->address, std::move(request), options,
+        options.timeout = EngineRequestTimeout;
+        m_engineClient.send(m_currentConfig->endpoint(name)->address, std::move(request), options,
                             [this, name](const HttpResult &result) {
-                                const auto seen = readEngineState(name, result);
-                                if (seen)
-                                    m_placement.observed(*seen);
+                                const auto observed = readEngineState(name, result);
+                                if (observed)
+                                    m_placement.observed(*observed);
                             });
     }
 }
 
 void ControlPlane::tickPlacement(Time now)
 {
-    if (!m_inForce)
+    if (!m_currentConfig)
         return;
     OrderActions orders;
     std::vector<ProposePlacement> proposals;
@@ -67,7 +68,7 @@
     const auto demand = [this](std::string_view model) {
         return m_membership.demandInDomain("model/" + std::string(model), m_settings.domain);
     };
-    m_placement.tick(*m_inForce, m_config.entries(), lease, demand, now, orders, proposals);
+    m_placement.tick(*m_currentConfig, m_config.entries(), lease, demand, now, orders, proposals);
     for (const SendOrder &order : orders)
         sendOrder(order);
     for (ProposePlacement &proposal : proposals)
@@ -76,7 +77,7 @@
 
 void ControlPlane::sendOrder(const SendOrder &order)
 {
-    const Endpoint *endpoint = m_inForce->endpoint(order.engine);
+    const Endpoint *endpoint = m_currentConfig->endpoint(order.engine);
     if (!endpoint)
         return;
     const LayerRange &layers = order.wanted.layers;
@@ -88,13 +89,13 @@
                                                     {"version", order.wanted.version},
                                                     {"layers", {layers.begin, layers.end}}});
     HttpClient::Options options;
-    options.timeout = EngineTimeout;
-    // The lease is looked at once more when the connection is up and the bytes
-    // are about to leave: the process may have been paused since the decision.
+    options.timeout = EngineRequestTimeout;
+    // The lease is checked again once the connection is established, immediately before the
+    // request is sent, because the process may have been paused since the decision.
     options.maySend = [this, fencing = order.fencing] {
         return m_lease.holds(steadyNow()) && m_lease.fencing() == fencing;
     };
-    log(LogLevel::Info, "placement", "order",
+    log(LogLevel::Info, "placement", "sending order to engine",
         {{"engine", order.engine},
          {"model", order.wanted.model},
          {"fencing", std::to_string(order.fencing)}});
--- a/src/balsamloftd/controlplane.cpp
+++ b/src/balsamloftd/controlplane.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-constexpr Duration LongestSleep {1'000'000};
-constexpr Duration SettleCheckInterval {10'000};
-constexpr Duration SecondInterval {1'000'000};
-constexpr int LeaseRenewals = 3; ///< in the time of one lease
-constexpr int LeaseMarginParts = 9;
+constexpr Duration MaxTimerDelay {1'000'000};
+constexpr Duration ResolutionCheckInterval {10'000};
+constexpr Duration PlacementInterval {1'000'000};
+constexpr int RenewalsPerLease = 3;
+constexpr int LeaseMarginDivisor = 9;
 constexpr double DemandSmoothing = 0.3;
 
-ConfigManagerSettings keeperSettings(const DaemonSettings &settings)
+ConfigManagerSettings configSettings(const DaemonSettings &settings)
 {
     ConfigManagerSettings result;
-    result.pollInterval = settings.configPoll;
+    result.pollInterval = settings.configPollInterval;
     return result;
 }
 
@@ -48,10 +48,10 @@
 {
     LeaseSettings result;
     result.key = "placement/" + settings.domain;
-    result.duration = settings.lease;
-    result.renewEvery = settings.lease / LeaseRenewals;
+    result.duration = settings.leaseDuration;
+    result.renewEvery = settings.leaseDuration / RenewalsPerLease;
     result.pollEvery = result.renewEvery;
-    result.margin = settings.lease / LeaseMarginParts;
+    result.margin = settings.leaseDuration / LeaseMarginDivisor;
     result.holder = settings.name + "/" + std::to_string(incarnation);
     return result;
 }
@@ -60,8 +60,8 @@
 {
     PlacementManagerSettings result;
     result.domain = settings.domain;
-    result.unloadDelay = settings.routeAway;
-    result.orders.leaseDuration = settings.lease;
+    result.unloadDelay = settings.unloadDelay;
+    result.orders.leaseDuration = settings.leaseDuration;
     return result;
 }
 
@@ -80,7 +80,7 @@
     , m_work(asio::make_work_guard(m_context))
     , m_timer(m_context)
     , m_platform(makeHttpPlatform(m_context, {settings.platform, settings.platformTimeout}))
-    , m_config(keeperSettings(settings), seed)
+    , m_config(configSettings(settings), seed)
     , m_claims(claimSettings(settings, incarnation))
     , m_peers(m_context, [this](PeerMessage message) { received(std::move(message)); })
     , m_membership(membershipSettings(settings, incarnation), seed ^ 0x5bd1e995U)
@@ -102,7 +102,7 @@
     if (!m_admin->listen(m_settings.adminListen, reason)
         || !m_peers.listen(m_settings.peerListen, reason))
         return false;
-    // Known only now where the port was left to the system.
+    // With port 0, the operating system chooses the port in listen().
     if (m_settings.peerAdvertise.empty())
         m_membership.setAddress(m_peers.address());
     asio::post(m_context, [this] { tick(); });
@@ -131,12 +131,12 @@
     });
 }
 
-void ControlPlane::resolveClaim(std::uint32_t worker, ResolveClaim settle)
+void ControlPlane::resolveClaim(std::uint32_t worker, ResolveClaim resolution)
 {
-    asio::post(m_context, [this, worker, settle = std::move(settle)] {
+    asio::post(m_context, [this, worker, resolution = std::move(resolution)] {
         ClaimActions actions;
-        m_claims.resolve({worker, settle.request}, settle.outcome, settle.answer, steadyNow(),
-                         actions);
+        m_claims.resolve({worker, resolution.request}, resolution.outcome, resolution.answer,
+                         steadyNow(), actions);
         perform(actions);
     });
 }
@@ -167,19 +167,19 @@
     struct Collection
     {
         std::string text;
-        std::size_t missing = 0;
+        std::size_t pendingWorkers = 0;
         std::function<void(std::string)> callback;
     };
     asio::post(m_context, [this, callback = std::move(callback)]() mutable {
         auto collection = std::make_shared<Collection>();
-        collection->missing = m_workers.size();
+        collection->pendingWorkers = m_workers.size();
         collection->callback = std::move(callback);
         renderControlMetrics(collection->text);
         for (TrafficWorker *worker : m_workers) {
             worker->renderMetrics([this, collection](std::string text) {
                 asio::post(m_context, [collection, text = std::move(text)] {
                     collection->text += text;
-                    if (--collection->missing == 0)
+                    if (--collection->pendingWorkers == 0)
                         collection->callback(std::move(collection->text));
                 });
             });
@@ -209,20 +209,20 @@
         renderSample(name, {}, static_cast<double>(value), text);
 }
 
-void ControlPlane::whenSettled(Duration patience, std::function<void()> callback)
+void ControlPlane::whenClaimsResolved(Duration timeout, std::function<void()> callback)
 {
-    asio::post(m_context, [this, patience, callback = std::move(callback)] {
-        checkSettled(steadyNow() + patience, callback);
+    asio::post(m_context, [this, timeout, callback = std::move(callback)] {
+        checkClaimsResolved(steadyNow() + timeout, callback);
     });
 }
 
-void ControlPlane::checkSettled(Time until, const std::function<void()> &callback)
+void ControlPlane::checkClaimsResolved(Time deadline, const std::function<void()> &callback)
 {
-    if (unsettledClaims() == 0 || steadyNow() >= until)
+    if (unresolvedClaims() == 0 || steadyNow() >= deadline)
         return callback();
-    auto timer = std::make_shared<asio::steady_timer>(m_context, SettleCheckInterval);
-    timer->async_wait([this, timer, until, callback](boost::system::error_code) {
-        checkSettled(until, callback);
+    auto timer = std::make_shared<asio::steady_timer>(m_context, ResolutionCheckInterval);
+    timer->async_wait([this, timer, deadline, callback](boost::system::error_code) {
+        checkClaimsResolved(deadline, callback);
     });
 }
 
@@ -253,15 +253,15 @@
     m_membership.tick(now, membershipActions);
     perform(membershipActions);
     LeaseActions leaseActions;
-    if (concernedWithLease(now))
+    if (participatesInLease(now))
         m_lease.tick(now, leaseActions);
     perform(leaseActions);
-    if (now >= m_nextList) {
-        m_nextList = now + m_membership.listInterval();
+    if (now >= m_nextInstanceListAt) {
+        m_nextInstanceListAt = now + m_membership.listInterval();
         readInstanceList();
     }
-    if (now >= m_nextSecond) {
-        m_nextSecond = now + SecondInterval;
+    if (now >= m_nextPlacementAt) {
+        m_nextPlacementAt = now + PlacementInterval;
         collectDemand();
         if (m_lease.holds(now))
             observeEngines();
@@ -286,16 +286,16 @@
     struct Collection
     {
         std::map<std::string, double> totals;
-        std::size_t missing = 0;
+        std::size_t pendingWorkers = 0;
     };
     auto collection = std::make_shared<Collection>();
-    collection->missing = m_workers.size();
+    collection->pendingWorkers = m_workers.size();
     for (TrafficWorker *worker : m_workers) {
         worker->demand([this, collection](const std::map<std::string, double> &totals) {
             asio::post(m_context, [this, collection, totals] {
                 for (const auto &[name, total] : totals)
                     collection->totals[name] += total;
-                if (--collection->missing == 0)
+                if (--collection->pendingWorkers == 0)
                     demandCollected(collection->totals, steadyNow());
             });
         });
@@ -304,8 +304,8 @@
 
 void ControlPlane::demandCollected(const std::map<std::string, double> &totals, Time now)
 {
-    const std::chrono::duration<double> elapsed = now - m_demandAt;
-    m_demandAt = now;
+    const std::chrono::duration<double> elapsed = now - m_demandCollectedAt;
+    m_demandCollectedAt = now;
     std::vector<Demand> demand;
     for (const auto &[name, total] : totals) {
         const double sample = (total - m_demandTotals[name]) / std::max(0.1, elapsed.count());
@@ -319,13 +319,14 @@
               [](const Demand &a, const Demand &b) { return a.rate > b.rate; });
     m_membership.setDemand(std::move(demand));
     const auto fractions = m_membership.limitFractions(now);
-    // The parts of one instance are split evenly between its traffic threads.
+    // The limit fractions of the instance are split evenly between its traffic threads.
     const auto threads = static_cast<double>(m_workers.size());
     for (TrafficWorker *worker : m_workers) {
-        LimitFractions parts;
+        LimitFractions threadFractions;
         for (const auto &[team, fraction] : fractions)
-            parts[team] = fraction / threads;
-        worker->setLimitFractions(m_membership.defaultFraction() / threads, std::move(parts));
+            threadFractions[team] = fraction / threads;
+        worker->setLimitFractions(m_membership.defaultFraction() / threads,
+                                  std::move(threadFractions));
     }
 }
 
@@ -355,13 +356,13 @@
 
 void ControlPlane::schedule()
 {
-    Time at = steadyNow() + LongestSleep;
+    Time at = steadyNow() + MaxTimerDelay;
     if (const auto next = m_config.nextWakeup())
         at = std::min(at, *next);
     if (const auto next = m_claims.nextWakeup())
         at = std::min(at, *next);
     at = std::min(at, m_membership.nextWakeup());
-    if (concernedWithLease(steadyNow()))
+    if (participatesInLease(steadyNow()))
         at = std::min(at, m_lease.nextWakeup());
     m_timer.expires_at(at);
     m_timer.async_wait([this](boost::system::error_code error) {
--- a/src/balsamloftd/controlplane.h
+++ b/src/balsamloftd/controlplane.h
@@ -1,6 +1,6 @@
 /// \file
-/// The control thread: configuration, membership, claims, the lease on
-/// placement, and what operators ask.
+/// The control thread: configuration, membership, claims, the placement lease
+/// and the requests of operators.
 
 #pragma once
 
@@ -18,16 +18,17 @@
 
 class AdminServer;
 
-/// Owns the control state of an instance. It runs on one thread; the traffic
-/// threads get immutable snapshots and messages from it.
+/// Owns the control state of an instance and runs on a thread of its own. It sends the traffic
+/// threads immutable configuration snapshots and messages.
 class ControlPlane : public ControlLink
 {
 public:
-    /// \a incarnation distinguishes this process from earlier ones of its name.
+    /// \a incarnation distinguishes this process from earlier processes with the same name.
     ControlPlane(const DaemonSettings &settings, std::uint64_t incarnation, std::uint64_t seed);
     ~ControlPlane() override;
 
-    /// Listens for operators and starts the thread. False and a reason on failure.
+    /// Opens the admin and the peer listener and starts the thread. Returns false and sets
+    /// \a reason on failure.
     bool start(std::vector<TrafficWorker *> workers, Reason &reason);
     std::uint16_t adminPort() const;
     void stop();
@@ -35,16 +36,15 @@
     // From any thread
 
     void startClaim(std::uint32_t worker, StartClaim claim) override;
-    void resolveClaim(std::uint32_t worker, ResolveClaim settle) override;
+    void resolveClaim(std::uint32_t worker, ResolveClaim resolution) override;
     void endpointReportedLeaving(std::string endpoint) override;
     void collectMetrics(std::function<void(std::string)> callback) override;
 
-    /// Says to peers that this instance is leaving, and gives up its lease.
+    /// Notifies peers that this instance is leaving, and releases its lease.
     void leave();
 
-    /// Calls \a callback once no claim waits for the platform any more, or
-    /// \a patience has passed.
-    void whenSettled(Duration patience, std::function<void()> callback);
+    /// Calls \a callback once no claim waits for the platform, or after \a timeout.
+    void whenClaimsResolved(Duration timeout, std::function<void()> callback);
 
     // On the control thread, for the admin server
 
@@ -57,7 +57,7 @@
     const DaemonSettings &settings() const { return m_settings; }
     std::span<TrafficWorker *const> workers() const { return m_workers; }
     boost::asio::io_context &context() { return m_context; }
-    std::size_t unsettledClaims() const
+    std::size_t unresolvedClaims() const
     {
         return m_claims.pending() + m_claims.pendingResolutions();
     }
@@ -73,7 +73,7 @@
     void perform(LeaseActions &actions);
     void schedule();
     void tick();
-    void checkSettled(Time until, const std::function<void()> &callback);
+    void checkClaimsResolved(Time deadline, const std::function<void()> &callback);
     void renderControlMetrics(std::string &text) const;
     void received(PeerMessage message);
     void readInstanceList();
@@ -81,14 +81,14 @@
     void demandCollected(const std::map<std::string, double> &totals, Time now);
     void observeEngines();
     void tickPlacement(Time now);
-    bool concernedWithLease(Time now) const
+    bool participatesInLease(Time now) const
     {
         return m_lease.holds(now) || m_membership.contendsForLease();
     }
     void sendOrder(const SendOrder &order);
     void proposePlacement(ProposePlacement &proposal);
 
-    // One for each kind of action.
+    // Each performs one kind of action.
     void operator()(ReadConfigHead &action);
     void operator()(ScanConfigChanges &action);
     void operator()(ReadConfigSnapshot &action);
@@ -119,12 +119,12 @@
     LeaseManager m_lease;
     PlacementManager m_placement;
     HttpClient m_engineClient;
-    ConfigPtr m_inForce;
+    ConfigPtr m_currentConfig;
     std::map<std::string, double> m_demandTotals;
     std::map<std::string, double> m_demandRates;
-    Time m_demandAt {};
-    Time m_nextSecond {};
-    Time m_nextList {};
+    Time m_demandCollectedAt {};
+    Time m_nextPlacementAt {};
+    Time m_nextInstanceListAt {};
     std::uint64_t m_proposalNumber = 0;
     std::unique_ptr<AdminServer> m_admin;
     std::vector<TrafficWorker *> m_workers;
@@ -133,7 +133,7 @@
     std::thread m_thread;
 };
 
-/// Milliseconds since the Unix epoch, now.
+/// Returns the current time in milliseconds since the Unix epoch.
 WallMillis wallNow();
 
 } // namespace balsamloft
--- a/src/balsamloftd/log.cpp
+++ b/src/balsamloftd/log.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-std::atomic<LogLevel> leastLevel {LogLevel::Info};
+std::atomic<LogLevel> minLevel {LogLevel::Info};
 std::string instanceName; // written once, before other threads start
 
 std::string_view toString(LogLevel level)
@@ -35,7 +35,8 @@
     return "info";
 }
 
-/// Quotes a value with spaces or quotes, so that a line can be split again.
+/// Quotes empty values and values with spaces, quotes, '=' or newlines, so that the attributes of
+/// a line can be parsed.
 std::string quoted(const std::string &value)
 {
     if (value.find_first_of(" \"=\n") == std::string::npos && !value.empty())
@@ -59,9 +60,9 @@
 
 BOOST_LOG_ATTRIBUTE_KEYWORD(severity, "Severity", LogLevel)
 
-void setUpLog(LogLevel least, std::string_view instance)
+void setUpLog(LogLevel level, std::string_view instance)
 {
-    leastLevel = least;
+    minLevel = level;
     instanceName = instance;
     boost::log::add_common_attributes();
     boost::log::add_console_log(std::cerr, boost::log::keywords::auto_flush = true,
@@ -75,7 +76,7 @@
 
 bool logEnabled(LogLevel level)
 {
-    return level >= leastLevel.load(std::memory_order_relaxed);
+    return level >= minLevel.load(std::memory_order_relaxed);
 }
 
 void log(LogLevel level, std::string_view part, std::string_view message,
--- a/src/balsamloftd/log.h
+++ b/src/balsamloftd/log.h
@@ -1,6 +1,6 @@
 /// \file
-/// Structured logs through Boost.Log: one line a record, with a fixed prefix
-/// for each part and attributes as key=value.
+/// Structured logging with Boost.Log. Each record is one line: the part of the daemon, a message
+/// and attributes as key=value.
 
 #pragma once
 
@@ -13,17 +13,18 @@
 
 enum class LogLevel : std::uint8_t { Debug, Info, Warning, Error };
 
-/// Sets the log up: records go to the standard error stream.
-void setUpLog(LogLevel least, std::string_view instance);
+/// Writes records of \a level and above to the standard error stream, each with the attribute
+/// instance=\a instance.
+void setUpLog(LogLevel level, std::string_view instance);
 
-/// Attribute of a log record.
+/// Key and value of an attribute of a log record.
 using LogAttribute = std::pair<std::string_view, std::string>;
 
-/// Writes a record of one part of the daemon, for example "traffic".
+/// Writes a record. \a part names the part of the daemon, for example "traffic".
 void log(LogLevel level, std::string_view part, std::string_view message,
          std::initializer_list<LogAttribute> attributes = {});
 
-/// Whether records of this level are written.
+/// Whether records of \a level are written.
 bool logEnabled(LogLevel level);
 
 } // namespace balsamloft
--- a/src/balsamloftd/main.cpp
+++ b/src/balsamloftd/main.cpp
@@ -1,4 +1,4 @@
-// The daemon: the same on every entry instance.
+// The daemon that runs on every entry instance.
 
 #include "controlplane.h"
 #include "settings.h"
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr int ExitUsage = 2;
-constexpr int ExitStart = 1;
-constexpr Duration SettlePatience {2'000'000};
-constexpr Duration FarewellTime {100'000};
+constexpr int ExitStartFailed = 1;
+constexpr Duration ClaimResolutionTimeout {2'000'000};
+constexpr Duration FinalMessageDelay {100'000};
 constexpr std::string_view Part = "daemon";
 
 std::string portOf(const std::string &address)
@@ -24,7 +24,7 @@
     return address.substr(address.rfind(':') + 1);
 }
 
-/// Starts the threads, waits for the signal to stop, and stops gracefully.
+/// Starts the threads, waits for SIGTERM or SIGINT, or a drain request, and stops gracefully.
 class Daemon
 {
 public:
@@ -87,7 +87,7 @@
             if (error)
                 return;
             if (m_draining)
-                log(LogLevel::Warning, Part, "already stopping; requests in flight are not cut",
+                log(LogLevel::Warning, Part, "already stopping; requests in flight are not aborted",
                     {{"signal", std::to_string(signal)}});
             drain();
             waitForSignal();
@@ -102,8 +102,8 @@
         for (const auto &worker : m_workers)
             worker->startDrain();
         m_control.leave();
-        // The balancer needs time to see that the instance is not ready; it
-        // must not meet a closed port before.
+        // The load balancer must see that the instance is not ready before the port is closed;
+        // otherwise its connections are refused.
         m_timer.expires_after(m_settings.drainGrace);
         m_timer.async_wait([this](boost::system::error_code) { stopAccepting(); });
     }
@@ -115,18 +115,18 @@
             worker->stopAccepting([this] {
                 boost::asio::post(m_context, [this] {
                     if (--m_busyWorkers == 0)
-                        settleAndStop();
+                        resolveClaimsAndStop();
                 });
             });
         }
     }
 
-    void settleAndStop()
+    void resolveClaimsAndStop()
     {
-        log(LogLevel::Info, Part, "nothing in flight any more");
-        m_control.whenSettled(SettlePatience, [this] {
-            // Time for the last messages to leave.
-            m_timer.expires_after(FarewellTime);
+        log(LogLevel::Info, Part, "no requests in flight");
+        m_control.whenClaimsResolved(ClaimResolutionTimeout, [this] {
+            // Lets the last messages to peers and the platform be sent.
+            m_timer.expires_after(FinalMessageDelay);
             m_timer.async_wait([this](boost::system::error_code) { m_context.stop(); });
         });
     }
@@ -165,7 +165,7 @@
     Daemon daemon(*settings);
     if (!daemon.start(reason)) {
         std::cerr << "balsamloftd: " << reason << '\n';
-        return ExitStart;
+        return ExitStartFailed;
     }
     daemon.run();
     return 0;
--- a/src/balsamloftd/metrics.cpp
+++ b/src/balsamloftd/metrics.cpp
@@ -5,7 +5,7 @@
 void TrafficMetrics::finished(const std::string &team, std::string_view outcome, Duration total)
 {
     ++m_requests[{team, std::string(outcome)}];
-    m_total.add(total);
+    m_requestTime.add(total);
 }
 
 void TrafficMetrics::render(const Router &router, std::size_t worker, std::string &text) const
@@ -15,9 +15,9 @@
         renderSample("balsamloft_requests_total",
                      label + ",team=\"" + key.first + "\",outcome=\"" + key.second + "\"",
                      static_cast<double>(count), text);
-    m_total.render("balsamloft_request_seconds", label, text);
-    m_firstToken.render("balsamloft_first_token_seconds", label, text);
-    m_tokenGap.render("balsamloft_token_gap_seconds", label, text);
+    m_requestTime.render("balsamloft_request_seconds", label, text);
+    m_firstTokenTime.render("balsamloft_first_token_seconds", label, text);
+    m_tokenInterval.render("balsamloft_token_gap_seconds", label, text);
     const RouterCounters &counters = router.counters();
     const std::pair<std::string_view, std::uint64_t> samples[] = {
         {"balsamloft_submitted_total", counters.submitted},
--- a/src/balsamloftd/settings.cpp
+++ b/src/balsamloftd/settings.cpp
@@ -8,35 +8,38 @@
 
 DEFINE_string(name, "", "name of this instance, unique in the fleet (required)");
 DEFINE_string(domain, "", "failure domain of this instance (required)");
-DEFINE_string(listen, "127.0.0.1:8080", "IP:port for callers");
-DEFINE_string(admin_listen, "127.0.0.1:8081", "IP:port for operators");
-DEFINE_string(peer_listen, "127.0.0.1:8082", "IP:port for other instances");
-DEFINE_string(peer_advertise, "", "IP:port that other instances connect to; empty: as peer_listen");
-DEFINE_string(seeds, "", "peer addresses to begin with, separated by commas");
+DEFINE_string(listen, "127.0.0.1:8080", "IP:port of the listener for callers");
+DEFINE_string(admin_listen, "127.0.0.1:8081", "IP:port of the listener for operators");
+DEFINE_string(peer_listen, "127.0.0.1:8082", "IP:port of the listener for other instances");
+DEFINE_string(peer_advertise, "",
+              "IP:port that other instances connect to; empty: the value of peer_listen");
+DEFINE_string(seeds, "", "addresses of peers contacted first, separated by commas");
 DEFINE_string(platform, "", "IP:port of the platform's services (required)");
 DEFINE_string(operator_token_sha256, "", "hex SHA-256 of the operators' token (required)");
-DEFINE_int32(traffic_threads, 1, "number of threads for traffic, 1 to 64");
+DEFINE_int32(traffic_threads, 1, "number of traffic threads, 1 to 64");
 DEFINE_int32(drain_grace_ms, 2000,
-             "how long a planned stop answers \"not ready\" before it accepts no connections");
-DEFINE_int32(config_poll_ms, 5000, "how often the platform is asked for changes, at least 100");
-DEFINE_int32(platform_timeout_ms, 2000, "how long the platform may take to answer");
-DEFINE_int32(lease_ms, 9000, "duration of the lease on placement, at least 300");
+             "time in a planned stop between reporting \"not ready\" and closing the listener");
+DEFINE_int32(config_poll_ms, 5000,
+             "interval at which the platform is polled for changes, at least 100");
+DEFINE_int32(platform_timeout_ms, 2000, "timeout of requests to the platform");
+DEFINE_int32(lease_ms, 9000, "duration of the placement lease, at least 300");
 DEFINE_int32(route_away_ms, 15000,
-             "how long an engine keeps its model once it is not routed to any more");
-DEFINE_string(log_level, "info", "least level logged: debug, info, warning or error");
-DEFINE_int64(random_seed, 0, "seed of the random generators; 0: from the system");
-DEFINE_int32(default_deadline_ms, 60000, "deadline of requests that state none");
-DEFINE_int32(longest_deadline_ms, 600000, "longest deadline that a caller may state");
-DEFINE_int32(default_max_tokens, 256, "max_tokens of completions that state none");
-DEFINE_int32(max_tokens, 32768, "longest completion that a caller may ask for");
-DEFINE_int32(max_header_bytes, 16384, "largest request header accepted");
-DEFINE_int32(max_body_bytes, 4194304, "largest request body accepted");
-DEFINE_int32(max_connections, 10000, "most connections of callers per traffic thread");
-DEFINE_int32(request_timeout_ms, 15000, "how long a caller may take to send a request");
-DEFINE_int32(write_timeout_ms, 15000, "how long a caller may take to read what is written");
-DEFINE_int32(max_queued, 10000, "most requests that wait, per model or service and thread");
-DEFINE_int32(max_attempts, 6, "most attempts at one request");
-DEFINE_int32(step_floor_ms, 400, "least time before a step counts as silent");
+             "how long an engine keeps its model after requests are no longer routed to it");
+DEFINE_string(log_level, "info", "lowest level logged: debug, info, warning or error");
+DEFINE_int64(random_seed, 0, "seed of the random number generators; 0: chosen by the system");
+DEFINE_int32(default_deadline_ms, 60000, "deadline of requests that specify none");
+DEFINE_int32(longest_deadline_ms, 600000, "maximum deadline that a caller may specify");
+DEFINE_int32(default_max_tokens, 256, "max_tokens of completions that specify none");
+DEFINE_int32(max_tokens, 32768, "maximum max_tokens that a caller may specify");
+DEFINE_int32(max_header_bytes, 16384, "maximum size of a request header");
+DEFINE_int32(max_body_bytes, 4194304, "maximum size of a request body");
+DEFINE_int32(max_connections, 10000, "maximum number of caller connections per traffic thread");
+DEFINE_int32(request_timeout_ms, 15000, "timeout for receiving a request from a caller");
+DEFINE_int32(write_timeout_ms, 15000, "timeout for writing to a caller that does not read");
+DEFINE_int32(max_queued, 10000,
+             "maximum number of queued requests, per model or service and traffic thread");
+DEFINE_int32(max_attempts, 6, "maximum number of attempts per request");
+DEFINE_int32(step_floor_ms, 400, "minimum time before a step without an answer times out");
 DEFINE_bool(check, false, "check the settings and exit");
 
 namespace balsamloft {
@@ -52,8 +55,8 @@
     return std::chrono::milliseconds(count);
 }
 
-/// Collects what is wrong, a line each.
-class Checker
+/// Collects the errors found in the settings, one per line.
+class SettingsChecker
 {
 public:
     void require(bool holds, const std::string &line)
@@ -67,11 +70,11 @@
         const bool valid = parseAddress(value, reason).has_value();
         require(valid, "--" + flag + ": " + reason);
     }
-    void range(const std::string &flag, std::int64_t value, std::int64_t least, std::int64_t most)
+    void range(const std::string &flag, std::int64_t value, std::int64_t min, std::int64_t max)
     {
-        require(value >= least && value <= most, "--" + flag + ": " + std::to_string(value)
-                                                     + " must be from " + std::to_string(least)
-                                                     + " to " + std::to_string(most));
+        require(value >= min && value <= max, "--" + flag + ": " + std::to_string(value)
+                                                  + " must be from " + std::to_string(min) + " to "
+                                                  + std::to_string(max));
     }
     const std::string &text() const { return m_text; }
 
@@ -104,7 +107,7 @@
     return std::nullopt;
 }
 
-void checkFlags(Checker &checker)
+void checkFlags(SettingsChecker &checker)
 {
     constexpr std::int64_t Hour = 3'600'000;
     constexpr std::int64_t Large = 1'000'000;
@@ -147,17 +150,17 @@
     checker.range("step_floor_ms", FLAGS_step_floor_ms, 1, Hour);
 }
 
-void checkTogether(Checker &checker)
+void checkFlagCombinations(SettingsChecker &checker)
 {
     checker.require(FLAGS_default_deadline_ms <= FLAGS_longest_deadline_ms,
-                    "--default_deadline_ms: is above --longest_deadline_ms");
+                    "--default_deadline_ms: must not exceed --longest_deadline_ms");
     checker.require(FLAGS_default_max_tokens <= FLAGS_max_tokens,
-                    "--default_max_tokens: is above --max_tokens");
+                    "--default_max_tokens: must not exceed --max_tokens");
     const bool fixedPort = !FLAGS_listen.ends_with(":0");
     checker.require(FLAGS_traffic_threads == 1 || fixedPort,
-                    "--listen: port 0 goes only with one traffic thread");
+                    "--listen: port 0 requires --traffic_threads=1");
     checker.require(!fixedPort || FLAGS_listen != FLAGS_admin_listen,
-                    "--admin_listen: is the same address as --listen");
+                    "--admin_listen: must differ from --listen");
 }
 
 } // namespace
@@ -178,11 +181,11 @@
                   << flagsHelp(ProgramFiles, EnvironmentPrefix);
         std::exit(0); // NOLINT(concurrency-mt-unsafe): no other thread yet
     }
-    Checker checker;
+    SettingsChecker checker;
     for (const std::string &argument : parsed->arguments)
         checker.require(false, argument + ": is not a flag; balsamloftd takes only flags");
     checkFlags(checker);
-    checkTogether(checker);
+    checkFlagCombinations(checker);
     if (!checker.text().empty()) {
         reason = checker.text();
         return std::nullopt;
@@ -199,10 +202,10 @@
     settings.operatorTokenSha256 = FLAGS_operator_token_sha256;
     settings.trafficThreads = static_cast<std::uint32_t>(FLAGS_traffic_threads);
     settings.drainGrace = millis(FLAGS_drain_grace_ms);
-    settings.configPoll = millis(FLAGS_config_poll_ms);
+    settings.configPollInterval = millis(FLAGS_config_poll_ms);
     settings.platformTimeout = millis(FLAGS_platform_timeout_ms);
-    settings.lease = millis(FLAGS_lease_ms);
-    settings.routeAway = millis(FLAGS_route_away_ms);
+    settings.leaseDuration = millis(FLAGS_lease_ms);
+    settings.unloadDelay = millis(FLAGS_route_away_ms);
     settings.logLevel = *logLevel(FLAGS_log_level);
     settings.seed = static_cast<std::uint64_t>(FLAGS_random_seed);
     settings.server.maxHeaderBytes = static_cast<std::uint32_t>(FLAGS_max_header_bytes);
--- a/src/balsamloftd/trafficworker.cpp
+++ b/src/balsamloftd/trafficworker.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::string_view Part = "traffic";
-constexpr Duration CleanInterval {1'000'000};
+constexpr Duration MaxTickInterval {1'000'000};
 constexpr Duration CancelTimeout {2'000'000};
 
 HttpRequest engineRequest(http::verb method, std::string_view path, std::string body)
@@ -41,8 +41,8 @@
     return FailureKind::Broken;
 }
 
-/// What an engine's status other than 200 says of the step.
-FailureKind failureOfStatus(unsigned status)
+/// Maps the HTTP status of an engine's answer, other than 200, to the failure of the step.
+FailureKind failureKindOfStatus(unsigned status)
 {
     switch (status) {
     case 429:
@@ -56,8 +56,8 @@
     }
 }
 
-/// Whether the body of a health answer says that the endpoint is leaving.
-bool saysLeaving(const std::string &body)
+/// Whether the body of a health check answer reports that the endpoint is leaving.
+bool reportsLeaving(const std::string &body)
 {
     json::error_code error;
     const json::value value = json::parse(body, error);
@@ -73,7 +73,7 @@
     , m_control(control)
     , m_work(asio::make_work_guard(m_context))
     , m_timer(m_context)
-    , m_cleanTimer(m_context)
+    , m_idleTimer(m_context)
     , m_router(m_settings.router, seed)
     , m_server(m_context, m_settings.server,
                [this](const HttpExchangePtr &exchange) { handle(exchange); })
@@ -144,26 +144,26 @@
 {
     asio::post(m_context, [this, idle = std::move(idle)] {
         m_server.stopAccepting();
-        m_idle = idle;
+        m_idleCallback = idle;
         checkIdle();
     });
 }
 
 void TrafficWorker::checkIdle()
 {
-    if (!m_idle || m_router.inFlight() > 0)
+    if (!m_idleCallback || m_router.inFlight() > 0)
         return;
-    // Answers may still be in the sockets' buffers; a connection ends when
-    // its last byte is handed to the system.
+    // Answers may still be buffered: a connection closes only after its last byte was passed to
+    // the operating system.
     if (m_server.connections() > 0) {
-        m_cleanTimer.expires_after(std::chrono::milliseconds(5));
-        m_cleanTimer.async_wait([this](boost::system::error_code error) {
+        m_idleTimer.expires_after(std::chrono::milliseconds(5));
+        m_idleTimer.async_wait([this](boost::system::error_code error) {
             if (!error)
                 checkIdle();
         });
         return;
     }
-    if (const auto idle = std::exchange(m_idle, nullptr))
+    if (const auto idle = std::exchange(m_idleCallback, nullptr))
         idle();
 }
 
@@ -245,9 +245,9 @@
 {
     const Time now = steadyNow();
     const RequestId id = m_nextId++;
-    std::string global = globalId(id);
+    std::string requestId = globalId(id);
     const auto refuseEarly = [&](HttpResponse response) {
-        response.set("Balsamloft-Request-Id", global);
+        response.set("Balsamloft-Request-Id", requestId);
         exchange->respond(std::move(response));
     };
     if (!m_router.config()) {
@@ -260,12 +260,12 @@
         m_metrics.finished("", error->code, Duration::zero());
         return refuseEarly(errorResponse(*error));
     }
-    Waiting &waiting = m_waiting[id];
-    waiting.exchange = exchange;
-    waiting.call = std::move(std::get<CallerRequest>(read));
-    waiting.id = std::move(global);
-    waiting.submittedAt = waiting.lastTokenAt = now;
-    waiting.call.request.id = id;
+    PendingRequest &pending = m_pendingRequests[id];
+    pending.exchange = exchange;
+    pending.call = std::move(std::get<CallerRequest>(read));
+    pending.id = std::move(requestId);
+    pending.submittedAt = pending.lastTokenAt = now;
+    pending.call.request.id = id;
     exchange->onCallerGone([this, id] {
         asio::post(m_context, [this, id] {
             Actions actions;
@@ -273,7 +273,7 @@
             perform(actions);
         });
     });
-    Request request = waiting.call.request;
+    Request request = pending.call.request;
     Actions actions;
     m_router.submit(std::move(request), now, actions);
     perform(actions);
@@ -290,15 +290,15 @@
 void TrafficWorker::schedule()
 {
     const auto next = m_router.nextWakeup();
-    const Time at = std::min(next.value_or(Time::max()), steadyNow() + CleanInterval);
-    if (m_timerAt != Time {} && m_timerAt <= at && m_timerAt > steadyNow())
-        return; // the timer that is set comes early enough
-    m_timerAt = at;
+    const Time at = std::min(next.value_or(Time::max()), steadyNow() + MaxTickInterval);
+    if (m_timerExpiresAt != Time {} && m_timerExpiresAt <= at && m_timerExpiresAt > steadyNow())
+        return; // the current timer expires early enough
+    m_timerExpiresAt = at;
     m_timer.expires_at(at);
     m_timer.async_wait([this](boost::system::error_code error) {
         if (error)
             return;
-        m_timerAt = Time {};
+        m_timerExpiresAt = Time {};
         Actions actions;
         m_router.tick(steadyNow(), actions);
         m_client.closeExpired(steadyNow());
@@ -316,8 +316,8 @@
 
 void TrafficWorker::operator()(SendStep &step)
 {
-    const auto it = m_waiting.find(step.ref.request);
-    if (it == m_waiting.end())
+    const auto it = m_pendingRequests.find(step.ref.request);
+    if (it == m_pendingRequests.end())
         return;
     WireStep wire {it->second.id,  step.ref,       step.prefill,  step.firstStage,
                    step.lastStage, step.lastToken, step.priority, std::move(step.input)};
@@ -342,10 +342,10 @@
     const unsigned status = result.response->result_int();
     if (status != 200 || !wire) {
         const auto load = wire ? std::optional(wire->answer.load) : std::nullopt;
-        m_router.stepFailed(ref, failureOfStatus(status), load, now, actions);
+        m_router.stepFailed(ref, failureKindOfStatus(status), load, now, actions);
         return perform(actions);
     }
-    // The number is local; the echo of the global id says whether it is ours.
+    // The local number is valid only if the answer echoes the global id of this request.
     wire->answer.ref.request = wire->request == globalId(ref.request) ? ref.request : 0;
     m_router.stepAnswered(ref, wire->answer, now, actions);
     perform(actions);
@@ -353,8 +353,8 @@
 
 void TrafficWorker::operator()(CancelAttempt &cancel)
 {
-    const auto it = m_waiting.find(cancel.request);
-    if (it != m_waiting.end() && it->second.outgoing) {
+    const auto it = m_pendingRequests.find(cancel.request);
+    if (it != m_pendingRequests.end() && it->second.outgoing) {
         it->second.outgoing->abort();
         it->second.outgoing.reset();
     }
@@ -368,8 +368,8 @@
 
 void TrafficWorker::operator()(SendCall &call)
 {
-    const auto it = m_waiting.find(call.request);
-    if (it == m_waiting.end())
+    const auto it = m_pendingRequests.find(call.request);
+    if (it == m_pendingRequests.end())
         return;
     HttpRequest request = it->second.call.forward;
     const std::string &address = m_router.loads().state(call.endpoint).address;
@@ -399,35 +399,35 @@
     perform(actions);
 }
 
-void TrafficWorker::beginStream(Waiting &waiting)
+void TrafficWorker::beginStream(PendingRequest &pending)
 {
-    waiting.streaming = true;
+    pending.streaming = true;
     HttpResponse response(http::status::ok, 11);
     response.set(http::field::content_type, "text/event-stream");
     response.set(http::field::cache_control, "no-store");
-    response.set("Balsamloft-Request-Id", waiting.id);
-    waiting.exchange->beginStream(std::move(response));
+    response.set("Balsamloft-Request-Id", pending.id);
+    pending.exchange->beginStream(std::move(response));
 }
 
 void TrafficWorker::operator()(EmitToken &token)
 {
-    const auto it = m_waiting.find(token.request);
-    if (it == m_waiting.end())
+    const auto it = m_pendingRequests.find(token.request);
+    if (it == m_pendingRequests.end())
         return;
-    Waiting &waiting = it->second;
+    PendingRequest &pending = it->second;
     const Time now = steadyNow();
-    if (waiting.lastTokenAt == waiting.submittedAt)
-        m_metrics.firstToken(now - waiting.submittedAt);
+    if (pending.lastTokenAt == pending.submittedAt)
+        m_metrics.firstToken(now - pending.submittedAt);
     else
-        m_metrics.tokenGap(now - waiting.lastTokenAt);
-    waiting.lastTokenAt = now;
-    if (!waiting.call.stream)
+        m_metrics.tokenInterval(now - pending.lastTokenAt);
+    pending.lastTokenAt = now;
+    if (!pending.call.stream)
         return;
-    if (!waiting.streaming)
-        beginStream(waiting);
-    if (waiting.exchange->write(tokenEvent(waiting.id, waiting.call.request.target, token.token)))
+    if (!pending.streaming)
+        beginStream(pending);
+    if (pending.exchange->write(tokenEvent(pending.id, pending.call.request.target, token.token)))
         return;
-    // The caller is gone, or does not read: the work for it is cancelled.
+    // The caller has disconnected or does not read: its request is cancelled.
     asio::post(m_context, [this, id = token.request] {
         Actions actions;
         m_router.callerGone(id, steadyNow(), actions);
@@ -437,62 +437,62 @@
 
 void TrafficWorker::operator()(FinishRequest &finish)
 {
-    const auto node = m_waiting.extract(finish.request);
+    const auto node = m_pendingRequests.extract(finish.request);
     if (node.empty())
         return;
-    Waiting &waiting = node.mapped();
+    PendingRequest &pending = node.mapped();
     const Answer &answer = finish.answer;
-    const Request &request = waiting.call.request;
+    const Request &request = pending.call.request;
     m_metrics.finished(request.team, answer.replayed ? "replayed" : "finished",
-                       steadyNow() - waiting.submittedAt);
-    log(LogLevel::Debug, Part, "finished", {{"request", waiting.id}, {"team", request.team}});
+                       steadyNow() - pending.submittedAt);
+    log(LogLevel::Debug, Part, "finished", {{"request", pending.id}, {"team", request.team}});
     const std::string_view reason = answer.tokens >= request.maxTokens ? "length" : "stop";
-    if (request.kind == TargetKind::Model && waiting.call.stream) {
-        if (!waiting.streaming) {
-            beginStream(waiting);
-            waiting.exchange->write(tokenEvent(waiting.id, request.target, answer.body));
+    if (request.kind == TargetKind::Model && pending.call.stream) {
+        if (!pending.streaming) {
+            beginStream(pending);
+            pending.exchange->write(tokenEvent(pending.id, request.target, answer.body));
         }
-        waiting.exchange->write(finalEvents(waiting.id, request.target, reason));
-        return waiting.exchange->endStream();
+        pending.exchange->write(finalEvents(pending.id, request.target, reason));
+        return pending.exchange->endStream();
     }
     HttpResponse response(static_cast<http::status>(answer.status), 11);
     if (request.kind == TargetKind::Model) {
         response = jsonResponse(http::status::ok,
-                                completionBody(waiting.id, request.target, answer, reason));
+                                completionBody(pending.id, request.target, answer, reason));
     } else {
         if (!answer.contentType.empty())
             response.set(http::field::content_type, answer.contentType);
         response.body() = answer.body;
     }
-    response.set("Balsamloft-Request-Id", waiting.id);
+    response.set("Balsamloft-Request-Id", pending.id);
     if (answer.replayed)
         response.set("Balsamloft-Replayed", "1");
-    waiting.exchange->respond(std::move(response));
+    pending.exchange->respond(std::move(response));
 }
 
 void TrafficWorker::operator()(RefuseRequest &refuse)
 {
-    const auto node = m_waiting.extract(refuse.request);
+    const auto node = m_pendingRequests.extract(refuse.request);
     if (node.empty())
         return;
-    Waiting &waiting = node.mapped();
-    if (waiting.outgoing)
-        waiting.outgoing->abort();
-    m_metrics.finished(waiting.call.request.team, toString(refuse.code),
-                       steadyNow() - waiting.submittedAt);
+    PendingRequest &pending = node.mapped();
+    if (pending.outgoing)
+        pending.outgoing->abort();
+    m_metrics.finished(pending.call.request.team, toString(refuse.code),
+                       steadyNow() - pending.submittedAt);
     log(LogLevel::Info, Part, "refused",
-        {{"request", waiting.id},
-         {"team", waiting.call.request.team},
+        {{"request", pending.id},
+         {"team", pending.call.request.team},
          {"code", std::string(toString(refuse.code))},
          {"ran", std::string(toString(refuse.ran))}});
-    if (waiting.streaming) {
-        // Never a bare close: that would look like a whole answer.
-        waiting.exchange->write(errorEvent(refuse));
-        return waiting.exchange->endStream();
+    if (pending.streaming) {
+        // An error event is sent first; a plain close would look like a complete answer.
+        pending.exchange->write(errorEvent(refuse));
+        return pending.exchange->endStream();
     }
     HttpResponse response = refusalResponse(refuse);
-    response.set("Balsamloft-Request-Id", waiting.id);
-    waiting.exchange->respond(std::move(response));
+    response.set("Balsamloft-Request-Id", pending.id);
+    pending.exchange->respond(std::move(response));
 }
 
 void TrafficWorker::operator()(StartClaim &claim)
@@ -500,9 +500,9 @@
     m_control.startClaim(m_settings.index, std::move(claim));
 }
 
-void TrafficWorker::operator()(ResolveClaim &settle)
+void TrafficWorker::operator()(ResolveClaim &resolution)
 {
-    m_control.resolveClaim(m_settings.index, std::move(settle));
+    m_control.resolveClaim(m_settings.index, std::move(resolution));
 }
 
 void TrafficWorker::operator()(ProbeEndpoint &probe)
@@ -511,20 +511,21 @@
     probeOptions.timeout = m_settings.probeTimeout;
     probeOptions.freshConnection = true;
     const EndpointId endpoint = probe.endpoint;
-    m_client.send(
-        m_router.loads().state(endpoint).address, engineRequest(http::verb::get, "/v1/health", {}),
-        probeOptions, [this, endpoint](const HttpResult &result) {
-            Actions actions;
-            const bool alive = result.response.has_value();
-            m_router.probeFinished(endpoint, alive, alive && saysLeaving(result.response->body()),
-                                   steadyNow(), actions);
-            perform(actions);
-        });
+    m_client.send(m_router.loads().state(endpoint).address,
+                  engineRequest(http::verb::get, "/v1/health", {}), probeOptions,
+                  [this, endpoint](const HttpResult &result) {
+                      Actions actions;
+                      const bool alive = result.response.has_value();
+                      m_router.probeFinished(endpoint, alive,
+                                             alive && reportsLeaving(result.response->body()),
+                                             steadyNow(), actions);
+                      perform(actions);
+                  });
 }
 
-void TrafficWorker::operator()(ReportLeaving &note)
+void TrafficWorker::operator()(ReportLeaving &report)
 {
-    m_control.endpointReportedLeaving(m_router.loads().state(note.endpoint).name);
+    m_control.endpointReportedLeaving(m_router.loads().state(report.endpoint).name);
 }
 
 void TrafficWorker::operator()(CloseConnections &close)
--- a/src/balsamloftd/trafficworker.h
+++ b/src/balsamloftd/trafficworker.h
@@ -1,6 +1,6 @@
 /// \file
-/// A traffic thread: callers on one side, endpoints on the other, and the
-/// Router in between. It carries out actions and decides nothing.
+/// A traffic thread: connects callers and endpoints through a Router. It performs the actions
+/// that the Router decides on.
 
 #pragma once
 
@@ -19,18 +19,18 @@
 
 namespace balsamloft {
 
-/// What a traffic thread asks of the control thread. Safe to call from any
-/// thread; answers come back as messages to the worker.
+/// Interface of the control thread for the traffic threads. Safe to call from any thread; results
+/// are returned as messages to the worker.
 class ControlLink
 {
 public:
     virtual ~ControlLink() = default;
     virtual void startClaim(std::uint32_t worker, StartClaim claim) = 0;
-    virtual void resolveClaim(std::uint32_t worker, ResolveClaim settle) = 0;
+    virtual void resolveClaim(std::uint32_t worker, ResolveClaim resolution) = 0;
 
     virtual void endpointReportedLeaving(std::string endpoint) = 0;
 
-    /// Asks for the metrics of the whole process.
+    /// Passes the metrics of the process to \a callback.
     virtual void collectMetrics(std::function<void(std::string)> callback) = 0;
 };
 
@@ -39,7 +39,7 @@
 {
     std::uint32_t index = 0;
     std::string listen;
-    std::string requestPrefix; ///< makes request ids unique in the fleet
+    std::string requestPrefix; ///< instance and incarnation; makes request ids unique in the fleet
     HttpServerSettings server;
     HttpClientSettings client;
     CallerLimits callers;
@@ -47,14 +47,14 @@
     Duration probeTimeout {300'000};
 };
 
-/// Runs one Router with its sockets on a thread of its own.
+/// Runs a Router and its sockets on a thread of its own.
 class TrafficWorker
 {
 public:
     TrafficWorker(WorkerSettings settings, ControlLink &control, std::uint64_t seed);
     ~TrafficWorker();
 
-    /// Listens and starts the thread. Returns false and a reason on failure.
+    /// Opens the listener and starts the thread. Returns false and sets \a reason on failure.
     bool start(Reason &reason);
     std::uint16_t port() const { return m_server.port(); }
 
@@ -65,33 +65,34 @@
     void claimAnswered(RequestId request, ClaimAnswer answer);
     void setLimitFractions(double defaultFraction, LimitFractions fractions);
 
-    /// First half of a planned stop: answer "not ready", take no new requests.
+    /// First phase of a planned stop: reports "not ready" and refuses new requests.
     void startDrain();
 
-    /// Second half: accept no connections. \a idle is called once nothing is in flight.
+    /// Second phase: closes the listener. Calls \a idle once no request is in flight and all
+    /// connections are closed.
     void stopAccepting(std::function<void()> idle);
     void renderMetrics(std::function<void(std::string)> callback);
     void explain(RequestId request, std::function<void(std::vector<std::string>)> callback);
 
-    /// State of the endpoints as this thread sees it.
+    /// Passes the state of the endpoints on this thread to \a callback.
     void endpoints(std::function<void(std::vector<EndpointState>)> callback);
 
-    /// What was asked for since the start: requests by "team/NAME" and tokens
-    /// by "model/NAME".
+    /// Passes the demand since the start to \a callback: requests by "team/NAME" and tokens by
+    /// "model/NAME".
     void demand(std::function<void(std::map<std::string, double>)> callback);
     void stop();
 
 private:
-    /// A caller that waits for an answer.
-    struct Waiting
+    /// A request whose caller waits for the answer.
+    struct PendingRequest
     {
         HttpExchangePtr exchange;
         CallerRequest call;
-        std::string id; ///< global
+        std::string id; ///< global request id
         Time submittedAt {};
         Time lastTokenAt {};
-        bool streaming = false; ///< the header of a streamed answer is out
-        HttpCallPtr outgoing; ///< step or call under way
+        bool streaming = false; ///< whether the header of a streamed answer was sent
+        HttpCallPtr outgoing; ///< step or call in progress
     };
 
     void handle(const HttpExchangePtr &exchange);
@@ -101,7 +102,7 @@
     void checkIdle();
     std::string globalId(RequestId id) const;
 
-    // One for each kind of action.
+    // Each performs one kind of action.
     void operator()(SendStep &step);
     void operator()(CancelAttempt &cancel);
     void operator()(SendCall &call);
@@ -109,14 +110,14 @@
     void operator()(FinishRequest &finish);
     void operator()(RefuseRequest &refuse);
     void operator()(StartClaim &claim);
-    void operator()(ResolveClaim &settle);
+    void operator()(ResolveClaim &resolution);
     void operator()(ProbeEndpoint &probe);
     void operator()(CloseConnections &close);
-    void operator()(ReportLeaving &note);
+    void operator()(ReportLeaving &report);
 
     void stepReturned(const StepRef &ref, HttpResult result);
     void callReturned(RequestId id, std::uint32_t attempt, HttpResult result);
-    void beginStream(Waiting &waiting);
+    void beginStream(PendingRequest &pending);
     HttpClient::Options options(RequestId id, std::uint32_t attempt, Time deadline);
 
     WorkerSettings m_settings;
@@ -124,15 +125,15 @@
     boost::asio::io_context m_context {1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
     boost::asio::steady_timer m_timer;
-    boost::asio::steady_timer m_cleanTimer;
-    Time m_timerAt {};
+    boost::asio::steady_timer m_idleTimer;
+    Time m_timerExpiresAt {};
     Router m_router;
     HttpServer m_server;
     HttpClient m_client;
     TrafficMetrics m_metrics;
-    std::unordered_map<RequestId, Waiting> m_waiting;
+    std::unordered_map<RequestId, PendingRequest> m_pendingRequests;
     RequestId m_nextId = 1;
-    std::function<void()> m_idle;
+    std::function<void()> m_idleCallback;
     std::thread m_thread;
 };
 
--- a/testsuite/configuration/configuration_test.cpp
+++ b/testsuite/configuration/configuration_test.cpp
@@ -59,7 +59,7 @@
     CHECK(apply(second, withTeam(rules, "y", 0.1), "two.json") == 0);
     std::string output;
     CHECK(apply(second, withTeam(rules, "x", 0.2), "three.json", &output) == 3);
-    CHECK(output.find("changed by another: rules/teams/x") != std::string::npos);
+    CHECK(output.find("conflicting change: rules/teams/x") != std::string::npos);
     CHECK(output.find("one.json") != std::string::npos);
     for (const auto *daemon : {"i1", "i2"}) {
         REQUIRE(fleet.waitForVersion(fleet.daemon(daemon), 4));
