--- a/testsuite/cost/main.cpp
+++ b/testsuite/cost/main.cpp
@@ -1,7 +1,7 @@
-// What forwarding costs an instance: one real process before a stand-in store
-// and endpoints, so many streams and calls at once. Prints processor time,
-// memory, and calls of sockets and of the store, each by request and by event.
-// Counts have bounds, times have none; ends with 1 when a bound does not hold.
+// Measures what forwarding costs an instance: one real process with a fake store and fake endpoints
+// handles many concurrent streams and calls. Prints processor time and memory, and the number of
+// socket operations and store calls. Counts have bounds, times have none; exits with 1 if a bound
+// is exceeded.
 
 #include "../common/process.h"
 #include "../common/wait.h"
@@ -26,13 +26,13 @@
 #include <sstream>
 
 DEFINE_int32(callers, 30, "connections, each with one request at a time");
-DEFINE_int32(requests, 20, "requests on each connection; every fourth one is a call");
-DEFINE_int32(events, 40, "events of a stream");
-DEFINE_string(flags, "", "one more flag of the instance, such as --log_all");
-DEFINE_double(most_writes, 1.05, "bound: writes to callers for each event or call");
-DEFINE_double(most_reads, 1.2, "bound: reads from endpoints for each event or call");
-DEFINE_double(most_sends, 1.05, "bound: sends to endpoints for each request");
-DEFINE_double(most_store_calls, 12, "bound: calls of the store in a second");
+DEFINE_int32(requests, 20, "requests on each connection; every fourth is a call");
+DEFINE_int32(events, 40, "events per stream");
+DEFINE_string(flags, "", "additional flag of the instance, such as --log_all");
+DEFINE_double(most_writes, 1.05, "upper bound: writes to callers per event or call");
+DEFINE_double(most_reads, 1.2, "upper bound: reads from endpoints per event or call");
+DEFINE_double(most_sends, 1.05, "upper bound: sends to endpoints per request");
+DEFINE_double(most_store_calls, 12, "upper bound: store calls per second");
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
@@ -43,7 +43,7 @@
 
 namespace {
 
-/// Counters of the instance, and what the kernel says of its process.
+/// Metrics of the instance, and processor time and memory of its process from /proc.
 struct Sample
 {
     double cpuMs = 0;
@@ -82,16 +82,16 @@
 
     bool run()
     {
-        asio::co_spawn(m_context, direct(), [](const std::exception_ptr &error) {
+        asio::co_spawn(m_context, runPhases(), [](const std::exception_ptr &error) {
             if (error)
                 std::rethrow_exception(error);
         });
         m_context.run();
-        return m_holds;
+        return m_withinBounds;
     }
 
 private:
-    awaitable<bool> ask(tcp::socket &socket, const std::string &path)
+    awaitable<bool> send(tcp::socket &socket, const std::string &path)
     {
         const std::string id = "r" + std::to_string(m_next++);
         const std::string text = "POST " + path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id
@@ -117,12 +117,12 @@
             const bool call = i % 4 == 3;
             const std::string path =
                 call ? std::string("/safe/x") : "/stream/" + std::to_string(FLAGS_events);
-            if (!co_await ask(socket, path)) {
+            if (!co_await send(socket, path)) {
                 m_failed += 1;
                 break;
             }
             m_requests += 1;
-            m_answers += call ? 1 : FLAGS_events;
+            m_eventsAndCalls += call ? 1 : FLAGS_events;
         }
         m_running -= 1;
     }
@@ -147,10 +147,10 @@
             sample.metrics[name] = std::atof(value.c_str());
         const std::string directory = "/proc/" + std::to_string(m_process->id()) + "/";
         std::ifstream stat(directory + "stat");
-        std::string word;
-        for (int i = 1; i <= 15 && stat >> word; ++i)
-            if (i >= 14)
-                sample.cpuMs += 1000 * std::atof(word.c_str()) / double(::sysconf(_SC_CLK_TCK));
+        std::string field;
+        for (int i = 1; i <= 15 && stat >> field; ++i)
+            if (i >= 14) // utime and stime
+                sample.cpuMs += 1000 * std::atof(field.c_str()) / double(::sysconf(_SC_CLK_TCK));
         std::ifstream statm(directory + "statm");
         double pages = 0;
         statm >> pages >> pages;
@@ -158,14 +158,15 @@
         co_return sample;
     }
 
-    awaitable<void> direct()
+    awaitable<void> runPhases()
     {
         for (bool served = false; !served; co_await pause(Milliseconds(50))) {
             tcp::socket socket(m_context);
             boost::system::error_code error;
             co_await socket.async_connect(endpointOf(m_callers),
                                           asio::redirect_error(asio::use_awaitable, error));
-            served = !error && co_await ask(socket, "/stream/3") && co_await ask(socket, "/safe/x");
+            served =
+                !error && co_await send(socket, "/stream/3") && co_await send(socket, "/safe/x");
         }
         const Sample before = co_await sample();
         m_running = FLAGS_callers;
@@ -177,37 +178,38 @@
         m_context.stop();
     }
 
-    void bounded(const char *what, double value, double most)
+    void checkBound(const char *what, double value, double max)
     {
-        const bool holds = value <= most;
-        std::printf("%-44s %10.3f  at most %.2f%s\n", what, value, most, holds ? "" : "  BROKEN");
-        m_holds = m_holds && holds;
+        const bool withinBound = value <= max;
+        std::printf("%-44s %10.3f  at most %.2f%s\n", what, value, max,
+                    withinBound ? "" : "  EXCEEDED");
+        m_withinBounds = m_withinBounds && withinBound;
     }
 
     void report(const Sample &before, const Sample &after)
     {
-        const auto grown = [&](const std::string &name) {
+        const auto increase = [&](const std::string &name) {
             return after.metrics.at("balsamloft_" + name) - before.metrics.at("balsamloft_" + name);
         };
         const std::chrono::duration<double> seconds = after.at - before.at;
         const double cpu = after.cpuMs - before.cpuMs;
-        std::printf("%d requests, %d events and calls, %d failed, %.1f s\n", m_requests, m_answers,
-                    m_failed, seconds.count());
-        std::printf("%-44s %10.3f\n", "processor time, ms a request", cpu / m_requests);
-        std::printf("%-44s %10.3f\n", "processor time, us an event or call",
-                    1000 * cpu / m_answers);
+        std::printf("%d requests, %d events and calls, %d failed, %.1f s\n", m_requests,
+                    m_eventsAndCalls, m_failed, seconds.count());
+        std::printf("%-44s %10.3f\n", "processor time, ms per request", cpu / m_requests);
+        std::printf("%-44s %10.3f\n", "processor time, us per event or call",
+                    1000 * cpu / m_eventsAndCalls);
         std::printf("%-44s %10.1f\n", "resident memory, MB", after.residentMb);
-        bounded("writes to callers, an event or call", grown("caller_writes_total") / m_answers,
-                FLAGS_most_writes);
-        bounded("reads from endpoints, an event or call", grown("endpoint_reads_total") / m_answers,
-                FLAGS_most_reads);
-        bounded("sends to endpoints, a request", grown("endpoint_writes_total") / m_requests,
-                FLAGS_most_sends);
-        bounded("new connections to endpoints, a request",
-                grown("endpoint_connections_opened_total") / m_requests, 1);
-        bounded("calls of the store, a second", grown("store_calls_total") / seconds.count(),
-                FLAGS_most_store_calls);
-        bounded("failed requests", m_failed, 0);
+        checkBound("writes to callers per event or call",
+                   increase("caller_writes_total") / m_eventsAndCalls, FLAGS_most_writes);
+        checkBound("reads from endpoints per event or call",
+                   increase("endpoint_reads_total") / m_eventsAndCalls, FLAGS_most_reads);
+        checkBound("sends to endpoints per request", increase("endpoint_writes_total") / m_requests,
+                   FLAGS_most_sends);
+        checkBound("new connections to endpoints per request",
+                   increase("endpoint_connections_opened_total") / m_requests, 1);
+        checkBound("store calls per second", increase("store_calls_total") / seconds.count(),
+                   FLAGS_most_store_calls);
+        checkBound("failed requests", m_failed, 0);
     }
 
     asio::io_context m_context;
@@ -220,9 +222,9 @@
     int m_next = 1;
     int m_running = 0;
     int m_requests = 0;
-    int m_answers = 0;
+    int m_eventsAndCalls = 0;
     int m_failed = 0;
-    bool m_holds = true;
+    bool m_withinBounds = true;
 };
 
 } // namespace
--- a/testsuite/soak/link.cpp
+++ b/testsuite/soak/link.cpp
@@ -67,10 +67,10 @@
     co_await pump(connection, false);
 }
 
-awaitable<void> Link::pump(ConnectionPtr connection, bool back)
+awaitable<void> Link::pump(ConnectionPtr connection, bool toCaller)
 {
-    tcp::socket &from = back ? connection->target : connection->caller;
-    tcp::socket &to = back ? connection->caller : connection->target;
+    tcp::socket &from = toCaller ? connection->target : connection->caller;
+    tcp::socket &to = toCaller ? connection->caller : connection->target;
     std::array<char, 8192> buffer {};
     boost::system::error_code error;
     const auto token = [&error] { return asio::redirect_error(asio::use_awaitable, error); };
@@ -80,15 +80,15 @@
             break;
         if (m_delay.count() > 0)
             co_await pause(m_delay);
-        // What a link lost never comes: the connection stays silent from then on.
-        connection->silent = connection->silent || (back && m_cutBack);
+        // Lost data is never delivered, so the connection stays silent from then on.
+        connection->silent = connection->silent || (toCaller && m_dropAnswers);
         if (connection->silent)
             continue;
         co_await asio::async_write(to, asio::buffer(buffer.data(), count), token());
         if (error)
             break;
     }
-    // The end of one side of a silent connection does not reach the other.
+    // On a silent connection, a close by one side is not forwarded to the other.
     if (!connection->silent) {
         boost::system::error_code ignored;
         connection->caller.close(ignored);
@@ -116,7 +116,7 @@
 void Link::heal()
 {
     m_delay = Milliseconds(0);
-    m_cutBack = false;
+    m_dropAnswers = false;
     m_refuse = false;
 }
 
--- a/testsuite/soak/link.h
+++ b/testsuite/soak/link.h
@@ -1,5 +1,5 @@
 /// \file
-/// A loopback link that a test can slow down, silence, cut one way or reset.
+/// A TCP proxy on loopback with injectable faults.
 
 #pragma once
 
@@ -18,13 +18,13 @@
 using boost::asio::ip::tcp;
 using Milliseconds = std::chrono::milliseconds;
 
-/// Waits in a coroutine.
+/// Suspends the calling coroutine for \a time.
 awaitable<void> pause(Milliseconds time);
 
-/// The endpoint that "IP:port" names.
+/// Converts "IP:port" to a TCP endpoint.
 tcp::endpoint endpointOf(const std::string &address);
 
-/// Passes connections on to a target until it is told otherwise.
+/// Forwards connections to a target.
 class Link
 {
 public:
@@ -34,14 +34,17 @@
 
     // Faults
 
+    /// Delays all data by \a time.
     void delay(Milliseconds time) { m_delay = time; }
-    /// Nothing comes back on connections that carry bytes meanwhile, for good.
-    void cutBack(bool cut) { m_cutBack = cut; }
-    /// New connections are closed at once.
+    /// Drops data from the target to the caller. A connection that loses data is silent from then
+    /// on.
+    void dropAnswers(bool drop) { m_dropAnswers = drop; }
+    /// Closes new connections at once.
     void refuse(bool refuse) { m_refuse = refuse; }
-    /// The open connections carry nothing more and are not closed.
+    /// Stops forwarding on all open connections without closing them.
     void silenceOpen();
     void resetOpen();
+    /// Ends all faults. Silent connections stay silent.
     void heal();
 
 private:
@@ -61,14 +64,14 @@
 
     awaitable<void> accept();
     awaitable<void> serve(ConnectionPtr connection);
-    awaitable<void> pump(ConnectionPtr connection, bool back);
+    awaitable<void> pump(ConnectionPtr connection, bool toCaller);
 
     boost::asio::io_context &m_context;
     tcp::endpoint m_target;
     tcp::acceptor m_acceptor;
     std::set<ConnectionPtr> m_open;
     Milliseconds m_delay {0};
-    bool m_cutBack = false;
+    bool m_dropAnswers = false;
     bool m_refuse = false;
 };
 
--- a/testsuite/soak/platform.cpp
+++ b/testsuite/soak/platform.cpp
@@ -21,8 +21,8 @@
 constexpr int HistoryGone = 410;
 constexpr int Unavailable = 503;
 constexpr int NoAnswer = 0;
-constexpr Milliseconds PollStep {20};
-constexpr Milliseconds ReturnsAfter {700};
+constexpr Milliseconds PollInterval {20};
+constexpr Milliseconds RestartDelay {700};
 
 std::string answerText(int status, const std::string &body, const std::string &more = {})
 {
@@ -30,7 +30,7 @@
            + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// Parts of a target between slashes, without the first one.
+/// Splits a request target at its slashes, without the leading one.
 std::vector<std::string> partsOf(std::string_view target)
 {
     std::vector<std::string> parts(1);
@@ -116,10 +116,10 @@
     const std::uint64_t after = std::stoull(parts[2]);
     const auto until = Clock::now() + Milliseconds(std::stol(parts[3]));
     while (Clock::now() < until && m_tables.newest(parts[1]) <= after && !down)
-        co_await pause(PollStep);
+        co_await pause(PollInterval);
     if (down)
         co_return std::pair(Unavailable, std::string());
-    if (after < m_forgotten)
+    if (after < m_historyStart)
         co_return std::pair(HistoryGone, std::string("{}"));
     co_return std::pair(Ok, m_tables.changes(parts[1], after));
 }
@@ -179,28 +179,28 @@
 {
     if (m_id.empty())
         return;
-    m_record.leaves(m_id);
+    m_record.leaving(m_id);
     write("leaving");
 }
 
-void Endpoint::passBy()
+void Endpoint::restartUnlisted()
 {
     crash();
     start();
-    lapse();
-    m_record.leaves(m_id);
+    deleteEntry();
+    m_record.leaving(m_id);
 }
 
-void Endpoint::writeLate()
+void Endpoint::writeFormerEntry()
 {
     if (m_id.empty())
         return;
     leave();
-    lapse();
+    deleteEntry();
     write("ready");
 }
 
-void Endpoint::lapse()
+void Endpoint::deleteEntry()
 {
     if (!m_id.empty())
         m_store.tables().drop("endpoints", m_id);
@@ -208,16 +208,16 @@
 
 void Endpoint::heal()
 {
-    failing = busy = losing = talkative = false;
+    failing = busy = losesAnswers = sendsExtraAnswers = false;
     m_link.heal();
     start();
 }
 
 awaitable<void> Endpoint::crashAndReturn()
 {
-    m_record.endedUnder(m_id);
+    m_record.crashed(m_id);
     crash();
-    co_await pause(ReturnsAfter);
+    co_await pause(RestartDelay);
     start();
 }
 
@@ -261,8 +261,8 @@
     else if (busy)
         text = answerText(Unavailable, {}, echo + "Not-Run: 1\r\n");
     else
-        m_record.ran(id, m_id);
-    if (text.empty() && request.body() == EndingBody) {
+        m_record.executed(id, m_id);
+    if (text.empty() && request.body() == CrashingBody) {
         asio::co_spawn(m_context, crashAndReturn(), asio::detached);
         co_return false;
     }
@@ -270,11 +270,11 @@
         co_return co_await stream(socket, request);
     if (text.empty()) {
         co_await pause(Milliseconds(m_random() % 30));
-        if (losing)
+        if (losesAnswers)
             co_return false;
         text = failing ? answerText(500, "failed", echo + "Seal: s\r\n")
                        : answerText(Ok, callBody(id), echo + "Seal: s\r\n");
-        if (talkative)
+        if (sendsExtraAnswers)
             text += "HTTP/1.1 200 OK\r\nRequest-Id: x\r\nSeal: s\r\nContent-Length: 1\r\n\r\n!";
     }
     boost::system::error_code error;
--- a/testsuite/soak/platform.h
+++ b/testsuite/soak/platform.h
@@ -1,5 +1,5 @@
 /// \file
-/// The store and the endpoints that the soak's instances work before.
+/// Fake store and endpoints for the soak test and the cost benchmark, with injectable faults.
 
 #pragma once
 
@@ -17,7 +17,7 @@
 
 using Request = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// A table store with long polls and conditions, and the ways in which one fails.
+/// A table store with long polling and conditional commits.
 class Store
 {
 public:
@@ -28,11 +28,12 @@
 
     // Faults
 
-    bool down = false; ///< turns all away
-    bool silent = false; ///< answers nobody
-    bool losesAnswers = false; ///< does what it is told and closes the connection
-    Milliseconds slow {0};
-    void forgetHistory() { m_forgotten = m_tables.version(); }
+    bool down = false; ///< answers 503
+    bool silent = false; ///< does not answer
+    bool losesAnswers = false; ///< closes the connection after processing a request
+    Milliseconds slow {0}; ///< delay of each answer
+    /// Answers 410 to queries for changes since any version before the current one.
+    void forgetHistory() { m_historyStart = m_tables.version(); }
     void heal();
 
 private:
@@ -43,13 +44,13 @@
     boost::asio::io_context &m_context;
     tcp::acceptor m_acceptor;
     testsuite::FeedTables m_tables;
-    std::uint64_t m_forgotten = 0;
+    std::uint64_t m_historyStart = 0;
 };
 
-/// Body of a request that ends each engine that runs it.
-inline constexpr std::string_view EndingBody = "end!";
+/// Body of a request that crashes each endpoint that executes it.
+inline constexpr std::string_view CrashingBody = "end!";
 
-/// An endpoint behind a link. Each start is another process with another id.
+/// Simulates an endpoint behind a Link. Each start simulates a new process with a new id.
 class Endpoint
 {
 public:
@@ -62,20 +63,21 @@
 
     void crash();
     void start();
-    /// Ends as for a request that ends what runs it, and comes back after a while.
+    /// Crashes because of a request and restarts after a delay.
     awaitable<void> crashAndReturn();
-    /// Writes that it leaves; what runs goes on.
+    /// Reports in its entry that it is leaving; running requests continue.
     void leave();
-    /// Comes back under another id and is off the list at once; what runs goes on.
-    void passBy();
-    /// Is off the list after it said that it leaves, and its earlier entry is written
-    /// late, as by a call that was delayed on the way.
-    void writeLate();
-    void lapse(); ///< its entry is dropped; it goes on
-    bool failing = false; ///< answers with failures of its own
-    bool busy = false; ///< turns requests away as not run
-    bool losing = false; ///< runs calls and closes the connection without an answer
-    bool talkative = false; ///< sends bytes after its answers
+    /// Restarts with a new id and deletes its entry at once, but keeps running.
+    void restartUnlisted();
+    /// Reports that it is leaving, deletes its entry and writes its former entry again, as if that
+    /// write had been delayed on the network.
+    void writeFormerEntry();
+    /// Deletes its entry, but keeps running.
+    void deleteEntry();
+    bool failing = false; ///< answers 500
+    bool busy = false; ///< refuses requests as not executed
+    bool losesAnswers = false; ///< executes calls, but closes the connection instead of answering
+    bool sendsExtraAnswers = false; ///< sends a second answer to each call
     void heal();
 
 private:
@@ -94,7 +96,7 @@
     std::mt19937_64 m_random;
     tcp::acceptor m_acceptor;
     Link m_link;
-    std::string m_id; ///< empty: not running
+    std::string m_id; ///< empty while not running
     int m_starts = 0;
     std::set<std::shared_ptr<tcp::socket>> m_open;
 };
--- a/testsuite/soak/record.cpp
+++ b/testsuite/soak/record.cpp
@@ -8,11 +8,11 @@
 
 constexpr int Ok = 200;
 
-/// Endpoints get nothing new so long after they said that they leave, however
-/// slow the machine is that runs all this.
-constexpr auto LeavingKnown = std::chrono::seconds(10);
+/// An endpoint must get no new requests this long after it reported that it is leaving; ample for a
+/// slow machine.
+constexpr auto LeavingPropagation = std::chrono::seconds(10);
 
-bool promisesNotRun(int status)
+bool meansNotExecuted(int status)
 {
     return status == 503 || status == 429 || status == 408 || status == 421;
 }
@@ -30,70 +30,73 @@
            + "\n\n";
 }
 
-void Record::ran(const std::string &request, const std::string &endpoint)
+void Record::executed(const std::string &request, const std::string &endpoint)
 {
-    m_ran[request].push_back(endpoint);
-    const auto left = m_leftAt.find(endpoint);
-    if (left != m_leftAt.end() && Clock::now() - left->second > LeavingKnown)
-        broken("an endpoint that left got new work: " + endpoint + ", " + request);
+    m_executed[request].push_back(endpoint);
+    const auto found = m_leavingAt.find(endpoint);
+    if (found != m_leavingAt.end() && Clock::now() - found->second > LeavingPropagation)
+        addViolation("a leaving endpoint got a new request: " + endpoint + ", " + request);
 }
 
-void Record::got(const std::string &request, Attempt attempt)
+void Record::received(const std::string &request, Exchange exchange)
 {
-    m_got[request] = std::move(attempt);
+    m_received[request] = std::move(exchange);
 }
 
-void Record::judgeBody(const std::string &request, const Attempt &attempt,
-                       std::vector<std::string> &broken) const
+void Record::checkBody(const std::string &request, const Exchange &exchange,
+                       std::vector<std::string> &violations) const
 {
-    if (attempt.kind != Kind::Stream) {
-        if (attempt.complete && attempt.body != callBody(request))
-            broken.push_back("not its own whole answer: " + request + " got " + attempt.body);
+    if (exchange.kind != Kind::Stream) {
+        if (exchange.complete && exchange.body != callBody(request))
+            violations.push_back("incomplete or mismatched answer: " + request + " received "
+                                 + exchange.body);
         return;
     }
-    std::string whole;
-    for (int i = 1; i <= attempt.events; ++i)
-        whole += eventText(request, i);
-    if (attempt.complete && attempt.body != whole)
-        broken.push_back("a stream ended as complete and is not: " + request);
-    if (!whole.starts_with(attempt.body))
-        broken.push_back("events missing, twice or another's: " + request + " got "
-                         + attempt.body.substr(0, 200));
+    std::string complete;
+    for (int i = 1; i <= exchange.events; ++i)
+        complete += eventText(request, i);
+    if (exchange.complete && exchange.body != complete)
+        violations.push_back("an incomplete stream ended as complete: " + request);
+    if (!complete.starts_with(exchange.body))
+        violations.push_back("events missing, duplicated or of another request: " + request
+                             + " received " + exchange.body.substr(0, 200));
 }
 
-std::vector<std::string> Record::judge() const
+std::vector<std::string> Record::check() const
 {
-    std::vector<std::string> broken = m_broken;
-    for (const auto &[request, endpoints] : m_ran)
-        if (!m_got.contains(request))
-            broken.push_back("ran, and nobody asked for it: " + request);
-    for (const auto &[request, attempt] : m_got) {
-        const auto ran = m_ran.find(request);
-        const std::size_t runs = ran == m_ran.end() ? 0 : ran->second.size();
-        if (attempt.kind == Kind::Unsafe && runs > 1)
-            broken.push_back("ran " + std::to_string(runs) + " times: " + request);
-        if (attempt.kind == Kind::Unsafe && promisesNotRun(attempt.status) && runs > 0)
-            broken.push_back("said not to have run, and ran: " + request);
-        if (attempt.status == Ok)
-            judgeBody(request, attempt, broken);
-        else if (attempt.status >= 400 && attempt.status < 500 && !promisesNotRun(attempt.status))
-            broken.push_back("denied with " + std::to_string(attempt.status) + ": " + request);
+    std::vector<std::string> violations = m_violations;
+    for (const auto &[request, endpoints] : m_executed)
+        if (!m_received.contains(request))
+            violations.push_back("executed, but sent by no caller: " + request);
+    for (const auto &[request, exchange] : m_received) {
+        const auto found = m_executed.find(request);
+        const std::size_t runs = found == m_executed.end() ? 0 : found->second.size();
+        if (exchange.kind == Kind::Unsafe && runs > 1)
+            violations.push_back("executed " + std::to_string(runs) + " times: " + request);
+        if (exchange.kind == Kind::Unsafe && meansNotExecuted(exchange.status) && runs > 0)
+            violations.push_back("reported as not executed, but executed: " + request);
+        if (exchange.status == Ok)
+            checkBody(request, exchange, violations);
+        else if (exchange.status >= 400 && exchange.status < 500
+                 && !meansNotExecuted(exchange.status))
+            violations.push_back("rejected with " + std::to_string(exchange.status) + ": "
+                                 + request);
     }
-    return broken;
+    return violations;
 }
 
 std::string Record::summary() const
 {
-    std::size_t whole = 0;
+    std::size_t complete = 0;
     std::size_t refused = 0;
-    for (const auto &[request, attempt] : m_got) {
-        whole += attempt.status == Ok && attempt.complete ? 1 : 0;
-        refused += promisesNotRun(attempt.status) ? 1 : 0;
+    for (const auto &[request, exchange] : m_received) {
+        complete += exchange.status == Ok && exchange.complete ? 1 : 0;
+        refused += meansNotExecuted(exchange.status) ? 1 : 0;
     }
-    return std::to_string(m_got.size()) + " asked, " + std::to_string(whole) + " whole, "
-           + std::to_string(refused) + " refused as not run, "
-           + std::to_string(m_got.size() - whole - refused) + " failed, "
-           + std::to_string(m_endedUnder.size()) + " ended under a request";
+    return std::to_string(m_received.size()) + " requests, " + std::to_string(complete)
+           + " complete, " + std::to_string(refused) + " refused as not executed, "
+           + std::to_string(m_received.size() - complete - refused) + " failed, "
+           + std::to_string(m_crashed.size()) + " endpoint crashes by a request";
 }
 
 } // namespace balsamloft::soak
--- a/testsuite/soak/record.h
+++ b/testsuite/soak/record.h
@@ -1,5 +1,5 @@
 /// \file
-/// What callers got and what endpoints ran, and whether the promises were kept.
+/// Records what callers received and what endpoints executed, and checks the guarantees.
 
 #pragma once
 
@@ -13,49 +13,51 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// Kinds of requests, as the routes name them.
+/// Kinds of requests, named as in the routes.
 enum class Kind { Safe, Unsafe, Stream };
 
-/// What a caller sent and got.
-struct Attempt
+/// A request and the answer that its caller received.
+struct Exchange
 {
     Kind kind = Kind::Safe;
-    int events = 0; ///< that a whole stream has
-    int status = 0; ///< 0: the connection ended without a head
-    bool complete = false; ///< the answer ended as a whole one does
-    bool ends = false; ///< ends each endpoint that runs it
+    int events = 0; ///< number of events in the complete stream
+    int status = 0; ///< 0: the connection was closed before the header was complete
+    bool complete = false; ///< the answer was received to its end
+    bool crashing = false; ///< crashes each endpoint that executes the request
     std::string body;
 };
 
-/// Gathers both sides of a run and judges them; the product's own word counts
-/// for nothing.
+/// Collects the observations of callers and endpoints and checks them against the guarantees. Uses
+/// nothing that the instances report about themselves.
 class Record
 {
 public:
-    void ran(const std::string &request, const std::string &endpoint);
-    void got(const std::string &request, Attempt attempt);
+    /// \a endpoint has executed \a request.
+    void executed(const std::string &request, const std::string &endpoint);
+    /// The caller of \a request has received its answer.
+    void received(const std::string &request, Exchange exchange);
 
-    /// An endpoint wrote that it leaves; \a endpoint: its id.
-    void leaves(const std::string &endpoint) { m_leftAt[endpoint] = Clock::now(); }
-    /// An endpoint ended under a request that ends endpoints.
-    void endedUnder(const std::string &endpoint) { m_endedUnder.push_back(endpoint); }
-    std::size_t endsUnder() const { return m_endedUnder.size(); }
+    /// The endpoint with the id \a endpoint has reported that it is leaving.
+    void leaving(const std::string &endpoint) { m_leavingAt[endpoint] = Clock::now(); }
+    /// A request has crashed \a endpoint.
+    void crashed(const std::string &endpoint) { m_crashed.push_back(endpoint); }
+    std::size_t crashCount() const { return m_crashed.size(); }
 
-    void broken(const std::string &promise) { m_broken.push_back(promise); }
+    void addViolation(const std::string &violation) { m_violations.push_back(violation); }
 
-    /// Promises that were broken, one line each.
-    std::vector<std::string> judge() const;
+    /// Returns the violated guarantees, one line each.
+    std::vector<std::string> check() const;
     std::string summary() const;
 
 private:
-    void judgeBody(const std::string &request, const Attempt &attempt,
-                   std::vector<std::string> &broken) const;
+    void checkBody(const std::string &request, const Exchange &exchange,
+                   std::vector<std::string> &violations) const;
 
-    std::map<std::string, std::vector<std::string>> m_ran; ///< endpoints by request
-    std::map<std::string, Attempt> m_got;
-    std::map<std::string, Clock::time_point> m_leftAt;
-    std::vector<std::string> m_endedUnder;
-    std::vector<std::string> m_broken;
+    std::map<std::string, std::vector<std::string>> m_executed; ///< endpoints by request
+    std::map<std::string, Exchange> m_received;
+    std::map<std::string, Clock::time_point> m_leavingAt;
+    std::vector<std::string> m_crashed;
+    std::vector<std::string> m_violations;
 };
 
 /// Body of an endpoint's answer to a call.
--- a/testsuite/soak/soak.cpp
+++ b/testsuite/soak/soak.cpp
@@ -21,17 +21,17 @@
 
 namespace {
 
-constexpr auto CallerWaits = std::chrono::seconds(15);
-/// Long enough for any machine: it only bounds a hang.
-constexpr auto RecoveryBound = std::chrono::seconds(60);
-/// How long an endpoint that is off the list still answers: longer than it may take
-/// until nobody sends it anything.
-constexpr Milliseconds RunsOn {13'000};
-/// An entry that nobody renews is dropped after this long.
-constexpr Milliseconds EntryLapses {2'500};
-/// Endpoints that one request may end while the instances can tell each other.
-constexpr std::size_t MostEnds = 6;
-constexpr int StoppedWell = 0;
+constexpr auto CallerTimeout = std::chrono::seconds(15);
+/// Only bounds a hang; ample for a slow machine.
+constexpr auto RecoveryTimeout = std::chrono::seconds(60);
+/// How long an unlisted endpoint keeps running; exceeds the time after which it must get no new
+/// requests.
+constexpr Milliseconds UnlistedRunTime {13'000};
+/// Lifetime of an entry that is not renewed.
+constexpr Milliseconds EntryLifetime {2'500};
+/// Endpoints that one request may crash while instances can exchange crash records.
+constexpr std::size_t MaxCrashes = 6;
+constexpr int NormalExit = 0;
 constexpr int KilledExit = 128 + SIGKILL;
 constexpr std::string_view Configuration =
     R"({"version":1,"keys":{"good-key":"team-a"},
@@ -45,16 +45,17 @@
     return std::uniform_int_distribution<int>(from, to)(random);
 }
 
-std::string requestText(const std::string &id, const Attempt &attempt)
+std::string requestText(const std::string &id, const Exchange &exchange)
 {
     static constexpr std::string_view Paths[] = {"/safe/x", "/unsafe/x", "/stream/"};
-    std::string path(Paths[static_cast<std::size_t>(attempt.kind)]);
-    if (attempt.kind == Kind::Stream)
-        path += std::to_string(attempt.events);
+    std::string path(Paths[static_cast<std::size_t>(exchange.kind)]);
+    if (exchange.kind == Kind::Stream)
+        path += std::to_string(exchange.events);
     return "POST " + path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id
            + "\r\nTeam-Key: good-key\r\nDeadline-Ms: 8000\r\nTokens: 10,60\r\n"
              "Content-Length: "
-           + (attempt.ends ? "4\r\n\r\n" + std::string(EndingBody) : std::string("2\r\n\r\nhi"));
+           + (exchange.crashing ? "4\r\n\r\n" + std::string(CrashingBody)
+                                : std::string("2\r\n\r\nhi"));
 }
 
 } // namespace
@@ -71,7 +72,7 @@
 
 Soak::~Soak() = default;
 
-void Soak::note(const std::string &fault)
+void Soak::logFault(const std::string &fault)
 {
     const auto since = std::chrono::duration_cast<Milliseconds>(Clock::now() - m_begin);
     m_faults.push_back(std::to_string(since.count()) + " ms " + fault);
@@ -120,19 +121,19 @@
 
 std::vector<std::string> Soak::run()
 {
-    asio::co_spawn(m_context, direct(), [](const std::exception_ptr &error) {
+    asio::co_spawn(m_context, runPhases(), [](const std::exception_ptr &error) {
         if (error)
             std::rethrow_exception(error);
     });
     m_context.run();
-    return m_record.judge();
+    return m_record.check();
 }
 
-awaitable<void> Soak::direct()
+awaitable<void> Soak::runPhases()
 {
     for (std::size_t i = 0; i < m_instances.size(); ++i)
-        if (!co_await served(i, Kind::Safe))
-            m_record.broken("not served before any fault: " + m_instances[i].name);
+        if (!co_await waitUntilServed(i, Kind::Safe))
+            m_record.addViolation("not served before any fault: " + m_instances[i].name);
     m_begin = Clock::now();
     const auto spawn = [this](awaitable<void> work) {
         m_running += 1;
@@ -144,59 +145,59 @@
     };
     for (std::size_t i = 0; i < m_instances.size(); ++i)
         for (int n = 0; n < m_settings.callers; ++n)
-            spawn(caller(i, m_random()));
+            spawn(runCaller(i, m_random()));
     for (int i = 0; i < m_settings.series; ++i)
-        spawn(series(m_random()));
-    if (m_settings.ending)
-        spawn(endingCaller(m_random()));
+        spawn(runSeries(m_random()));
+    if (m_settings.crashingRequest)
+        spawn(runCrashingCaller(m_random()));
     co_await pause(std::chrono::duration_cast<Milliseconds>(m_settings.length));
-    m_over = true;
+    m_stopping = true;
     while (m_running > 0)
         co_await pause(Milliseconds(20));
-    note("all faults are over");
+    logFault("all faults have ended");
     for (std::size_t i = 0; i < m_instances.size(); ++i) {
         if (!m_instances[i].process->running())
-            m_record.broken("ended by itself: " + m_instances[i].name);
+            m_record.addViolation("terminated unexpectedly: " + m_instances[i].name);
         for (const Kind kind : {Kind::Safe, Kind::Unsafe, Kind::Stream})
-            if (!co_await served(i, kind))
-                m_record.broken("not served after all faults: " + m_instances[i].name);
+            if (!co_await waitUntilServed(i, kind))
+                m_record.addViolation("not served after the faults ended: " + m_instances[i].name);
     }
     m_context.stop();
 }
 
 // Callers
 
-awaitable<bool> Soak::ask(tcp::socket &socket, const std::string &id, Attempt &attempt)
+awaitable<bool> Soak::send(tcp::socket &socket, const std::string &id, Exchange &exchange)
 {
     boost::system::error_code error;
     const auto token = [&error] { return asio::redirect_error(asio::use_awaitable, error); };
-    const std::string text = requestText(id, attempt);
+    const std::string text = requestText(id, exchange);
     co_await asio::async_write(socket, asio::buffer(text), token());
     boost::beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    // What came of a broken answer counts too, so the bound is on the socket.
-    asio::steady_timer bound(socket.get_executor(), CallerWaits);
-    bound.async_wait([&socket](const boost::system::error_code &stopped) {
+    // The timeout closes the socket, so that the part of the answer received until then is checked.
+    asio::steady_timer timer(socket.get_executor(), CallerTimeout);
+    timer.async_wait([&socket](const boost::system::error_code &stopped) {
         boost::system::error_code ignored;
         if (!stopped)
             socket.close(ignored);
     });
     if (!error)
         co_await http::async_read(socket, buffer, parser, token());
-    bound.cancel();
-    attempt.status = parser.is_header_done() ? parser.get().result_int() : 0;
-    attempt.complete = !error && parser.is_done();
-    attempt.body = parser.get().body();
-    if (attempt.complete && buffer.size() > 0)
-        m_record.broken("bytes after an answer: " + id);
-    co_return attempt.complete &&parser.keep_alive();
+    timer.cancel();
+    exchange.status = parser.is_header_done() ? parser.get().result_int() : 0;
+    exchange.complete = !error && parser.is_done();
+    exchange.body = parser.get().body();
+    if (exchange.complete && buffer.size() > 0)
+        m_record.addViolation("unexpected bytes after an answer: " + id);
+    co_return exchange.complete &&parser.keep_alive();
 }
 
-awaitable<void> Soak::caller(std::size_t instance, std::uint64_t seed)
+awaitable<void> Soak::runCaller(std::size_t instance, std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     std::optional<tcp::socket> socket;
-    while (!m_over) {
+    while (!m_stopping) {
         boost::system::error_code error;
         if (!socket) {
             socket.emplace(m_context);
@@ -209,43 +210,44 @@
             continue;
         }
         const std::string id = "r" + std::to_string(m_nextRequest++);
-        Attempt attempt;
-        attempt.kind = static_cast<Kind>(draw(random, 0, 2));
-        attempt.events = draw(random, 1, 60);
-        if (!co_await ask(*socket, id, attempt))
+        Exchange exchange;
+        exchange.kind = static_cast<Kind>(draw(random, 0, 2));
+        exchange.events = draw(random, 1, 60);
+        if (!co_await send(*socket, id, exchange))
             socket.reset();
-        m_record.got(id, std::move(attempt));
+        m_record.received(id, std::move(exchange));
         co_await pause(Milliseconds(draw(random, 0, 60)));
     }
 }
 
-/// Sends the same request to one instance after another.
-awaitable<void> Soak::endingCaller(std::uint64_t seed)
+/// Repeatedly sends the same request, each time to a random instance.
+awaitable<void> Soak::runCrashingCaller(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
-    while (!m_over) {
+    while (!m_stopping) {
         tcp::socket socket(m_context);
         boost::system::error_code error;
         const Instance &instance = m_instances[random() % m_instances.size()];
         co_await socket.async_connect(endpointOf(instance.callers),
                                       asio::redirect_error(asio::use_awaitable, error));
-        Attempt attempt;
-        attempt.kind = Kind::Stream;
-        attempt.events = 1;
-        attempt.ends = true;
+        Exchange exchange;
+        exchange.kind = Kind::Stream;
+        exchange.events = 1;
+        exchange.crashing = true;
         const std::string id = "r" + std::to_string(m_nextRequest++);
         if (!error)
-            co_await ask(socket, id, attempt);
-        m_record.got(id, std::move(attempt));
+            co_await send(socket, id, exchange);
+        m_record.received(id, std::move(exchange));
         co_await pause(Milliseconds(draw(random, 300, 1200)));
     }
-    if (m_settings.series == 0 && m_record.endsUnder() > MostEnds)
-        m_record.broken("one request ended " + std::to_string(m_record.endsUnder()) + " endpoints");
+    if (m_settings.series == 0 && m_record.crashCount() > MaxCrashes)
+        m_record.addViolation("one request crashed " + std::to_string(m_record.crashCount())
+                              + " endpoints");
 }
 
-awaitable<bool> Soak::served(std::size_t instance, Kind kind)
+awaitable<bool> Soak::waitUntilServed(std::size_t instance, Kind kind)
 {
-    const auto end = Clock::now() + RecoveryBound;
+    const auto end = Clock::now() + RecoveryTimeout;
     while (Clock::now() < end) {
         tcp::socket socket(m_context);
         boost::system::error_code error;
@@ -253,15 +255,15 @@
                                       asio::redirect_error(asio::use_awaitable, error));
         if (!error) {
             const std::string id = "r" + std::to_string(m_nextRequest++);
-            Attempt attempt;
-            attempt.kind = kind;
-            attempt.events = 5;
-            co_await ask(socket, id, attempt);
-            const bool whole = attempt.status == 200 && attempt.complete;
-            // Before an instance knows its configuration it may deny nothing,
-            // and that is judged too.
-            m_record.got(id, std::move(attempt));
-            if (whole)
+            Exchange exchange;
+            exchange.kind = kind;
+            exchange.events = 5;
+            co_await send(socket, id, exchange);
+            const bool complete = exchange.status == 200 && exchange.complete;
+            // This answer is checked too: an instance without a configuration must not reject
+            // requests.
+            m_record.received(id, std::move(exchange));
+            if (complete)
                 co_return true;
         }
         co_await pause(Milliseconds(50));
@@ -271,17 +273,17 @@
 
 // Faults
 
-awaitable<void> Soak::series(std::uint64_t seed)
+awaitable<void> Soak::runSeries(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
-    while (!m_over) {
+    while (!m_stopping) {
         co_await pause(Milliseconds(draw(random, 100, 900)));
-        if (!m_over)
-            co_await fault(random);
+        if (!m_stopping)
+            co_await injectFault(random);
     }
 }
 
-awaitable<void> Soak::fault(std::mt19937_64 &random)
+awaitable<void> Soak::injectFault(std::mt19937_64 &random)
 {
     const Milliseconds time(draw(random, 150, 2500));
     switch (draw(random, 0, 3)) {
@@ -296,14 +298,14 @@
     }
 }
 
-awaitable<void> Soak::ended(Instance &instance, int wanted)
+awaitable<void> Soak::waitForExit(Instance &instance, int expectedCode)
 {
     while (instance.process->running())
         co_await pause(Milliseconds(20));
     const int code = instance.process->wait();
-    if (code != wanted)
-        m_record.broken(instance.name + " ended with " + std::to_string(code) + ", not "
-                        + std::to_string(wanted));
+    if (code != expectedCode)
+        m_record.addViolation(instance.name + " exited with " + std::to_string(code) + ", expected "
+                              + std::to_string(expectedCode));
 }
 
 awaitable<void> Soak::processFault(std::mt19937_64 &random, Milliseconds time)
@@ -313,15 +315,16 @@
     if (instance.busy)
         co_return;
     instance.busy = true;
-    static constexpr std::string_view Names[] = {"frozen", "killed", "stopped"};
-    note(instance.name + " " + std::string(Names[kind]) + " for " + std::to_string(time.count()));
+    static constexpr std::string_view Names[] = {"paused", "killed", "stopped"};
+    logFault(instance.name + " " + std::string(Names[kind]) + " for "
+             + std::to_string(time.count()));
     if (kind == 0) {
         instance.process->signal(SIGSTOP);
         co_await pause(time);
         instance.process->signal(SIGCONT);
     } else {
         instance.process->signal(kind == 1 ? SIGKILL : SIGTERM);
-        co_await ended(instance, kind == 1 ? KilledExit : StoppedWell);
+        co_await waitForExit(instance, kind == 1 ? KilledExit : NormalExit);
         co_await pause(time / 4);
         startProcess(instance);
     }
@@ -333,7 +336,7 @@
     const int kind = draw(random, 0, 4);
     static constexpr std::string_view Names[] = {"down", "silent", "losing answers", "slow",
                                                  "without history"};
-    note("store " + std::string(Names[kind]) + " for " + std::to_string(time.count()));
+    logFault("store " + std::string(Names[kind]) + " for " + std::to_string(time.count()));
     switch (kind) {
     case 0:
         m_store.down = true;
@@ -361,16 +364,16 @@
     Link &link = toStore ? *m_instances[random() % m_instances.size()].store
                          : m_endpoints[random() % m_endpoints.size()]->link();
     const int kind = draw(random, 0, 4);
-    static constexpr std::string_view Names[] = {"slow", "cut one way", "refusing", "silent",
+    static constexpr std::string_view Names[] = {"slow", "dropping answers", "refusing", "silent",
                                                  "reset"};
-    note(std::string(toStore ? "link to the store " : "link to an endpoint ")
-         + std::string(Names[kind]) + " for " + std::to_string(time.count()));
+    logFault(std::string(toStore ? "link to the store " : "link to an endpoint ")
+             + std::string(Names[kind]) + " for " + std::to_string(time.count()));
     switch (kind) {
     case 0:
         link.delay(Milliseconds(draw(random, 5, 200)));
         break;
     case 1:
-        link.cutBack(true);
+        link.dropAnswers(true);
         break;
     case 2:
         link.refuse(true);
@@ -389,12 +392,17 @@
 {
     Endpoint &endpoint = *m_endpoints[random() % m_endpoints.size()];
     const auto length = std::chrono::duration_cast<Milliseconds>(m_settings.length);
-    const Milliseconds runsOn = std::min(RunsOn, length);
+    const Milliseconds runTime = std::min(UnlistedRunTime, length);
     const int kind = draw(random, 0, 7);
-    static constexpr std::string_view Names[] = {"crashed",    "leaving",     "failing",
-                                                 "busy",       "losing",      "talkative",
-                                                 "passing by", "written late"};
-    note("endpoint " + std::string(Names[kind]) + " for " + std::to_string(time.count()));
+    static constexpr std::string_view Names[] = {"crashed",
+                                                 "leaving",
+                                                 "failing",
+                                                 "busy",
+                                                 "losing answers",
+                                                 "sending extra answers",
+                                                 "restarted unlisted",
+                                                 "writing its former entry"};
+    logFault("endpoint " + std::string(Names[kind]) + " for " + std::to_string(time.count()));
     switch (kind) {
     case 0:
         endpoint.crash();
@@ -411,22 +419,22 @@
         endpoint.busy = true;
         break;
     case 4:
-        endpoint.losing = true;
+        endpoint.losesAnswers = true;
         break;
     case 6:
-        endpoint.passBy();
-        co_await pause(runsOn);
+        endpoint.restartUnlisted();
+        co_await pause(runTime);
         endpoint.crash();
         break;
     case 7:
-        endpoint.writeLate();
-        co_await pause(EntryLapses);
-        endpoint.lapse();
-        co_await pause(runsOn);
+        endpoint.writeFormerEntry();
+        co_await pause(EntryLifetime);
+        endpoint.deleteEntry();
+        co_await pause(runTime);
         endpoint.crash();
         break;
     default:
-        endpoint.talkative = true;
+        endpoint.sendsExtraAnswers = true;
     }
     co_await pause(time);
     endpoint.heal();
--- a/testsuite/soak/soak.h
+++ b/testsuite/soak/soak.h
@@ -1,6 +1,6 @@
 /// \file
-/// One randomized run: instances of `balsamloft-entry` as real processes, faults
-/// from outside in overlapping series, callers that keep their connections.
+/// Runs instances of `balsamloft-entry` as real processes, with callers that reuse their
+/// connections, while overlapping series of random faults are injected from outside.
 
 #pragma once
 
@@ -9,34 +9,34 @@
 
 namespace balsamloft::soak {
 
-/// What one run is made of.
+/// Settings of a run.
 struct SoakSettings
 {
     std::uint64_t seed = 1;
-    std::chrono::seconds length {8}; ///< of the faults
+    std::chrono::seconds length {8}; ///< duration of the faults
     int instances = 3;
-    int callers = 4; ///< before each instance
-    int series = 3; ///< of faults, that overlap
-    bool ending = false; ///< a request comes again and again that ends its endpoints
+    int callers = 4; ///< per instance
+    int series = 3; ///< number of concurrent series of faults
+    /// Repeatedly sends a request that crashes the endpoints that execute it.
+    bool crashingRequest = false;
 };
 
-/// Runs one seed. Drawn from the seed: which faults, when and for how long. Not
-/// drawn: the machine's own timing, so a seed says where to look, not what
-/// happens to the microsecond.
+/// Runs one seed. The seed determines the faults, their times and durations, but not the timing of
+/// the machine, so runs with the same seed are similar and not identical.
 class Soak
 {
 public:
     explicit Soak(SoakSettings settings);
     ~Soak();
 
-    /// \return promises that were broken, one line each.
+    /// \return violated guarantees, one line each.
     std::vector<std::string> run();
 
-    /// Faults in order, for the log of a failing seed.
+    /// Injected faults in order, for the report of a failing seed.
     const std::vector<std::string> &faults() const { return m_faults; }
     std::string summary() const { return m_record.summary(); }
 
-    /// Writes what the instances logged to files in \a directory.
+    /// Writes the logs of the instances to files in \a directory.
     void saveLogs(const std::string &directory) const;
 
 private:
@@ -44,30 +44,33 @@
     {
         std::string name;
         std::string domain;
-        std::string callers;
+        std::string callers; ///< address for callers
         std::vector<std::string> arguments;
-        std::unique_ptr<Link> store;
+        std::unique_ptr<Link> store; ///< link to the store
         std::unique_ptr<testsuite::Process> process;
-        std::string formerOutput;
-        bool busy = false; ///< a fault of its process is under way
+        std::string formerOutput; ///< of its earlier processes
+        bool busy = false; ///< a fault of its process is in progress
     };
 
     void makeEndpoints();
     void makeInstances();
     void startProcess(Instance &instance);
-    awaitable<void> direct();
-    awaitable<void> series(std::uint64_t seed);
-    awaitable<void> fault(std::mt19937_64 &random);
+    awaitable<void> runPhases();
+    awaitable<void> runSeries(std::uint64_t seed);
+    awaitable<void> injectFault(std::mt19937_64 &random);
     awaitable<void> processFault(std::mt19937_64 &random, Milliseconds time);
-    awaitable<void> ended(Instance &instance, int wanted);
+    awaitable<void> waitForExit(Instance &instance, int expectedCode);
     awaitable<void> storeFault(std::mt19937_64 &random, Milliseconds time);
     awaitable<void> linkFault(std::mt19937_64 &random, Milliseconds time);
     awaitable<void> endpointFault(std::mt19937_64 &random, Milliseconds time);
-    awaitable<void> caller(std::size_t instance, std::uint64_t seed);
-    awaitable<void> endingCaller(std::uint64_t seed);
-    awaitable<bool> ask(tcp::socket &socket, const std::string &id, Attempt &attempt);
-    awaitable<bool> served(std::size_t instance, Kind kind);
-    void note(const std::string &fault);
+    awaitable<void> runCaller(std::size_t instance, std::uint64_t seed);
+    awaitable<void> runCrashingCaller(std::uint64_t seed);
+    /// Sends the request of \a exchange and stores its answer there.
+    /// \return whether the connection can be used again.
+    awaitable<bool> send(tcp::socket &socket, const std::string &id, Exchange &exchange);
+    /// Whether a request of \a kind succeeds within RecoveryTimeout.
+    awaitable<bool> waitUntilServed(std::size_t instance, Kind kind);
+    void logFault(const std::string &fault);
 
     SoakSettings m_settings;
     std::mt19937_64 m_random;
@@ -78,8 +81,8 @@
     std::vector<Instance> m_instances;
     std::vector<std::string> m_faults;
     Clock::time_point m_begin = Clock::now();
-    bool m_over = false;
-    int m_running = 0; ///< callers and series
+    bool m_stopping = false;
+    int m_running = 0; ///< number of running callers and series
     std::uint64_t m_nextRequest = 1;
 };
 
