--- a/Makefile
+++ b/Makefile
@@ -43,7 +43,7 @@
 lint: build
 	@scripts/lint.sh $(BUILD)
 
-# The generated files are committed; only those who change the .proto need protoc.
+# The generated files are committed; protoc is needed only to change a .proto file.
 proto:
 	@protoc -I src/libpeer --cpp_out=src/libpeer src/libpeer/peer.proto src/libpeer/entrynews.proto
 
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# What the control plane of real daemons costs: memory with a configuration of
-# the size to design for, and processor time and bytes of idle instances.
+# Measures the cost of the control plane of real daemons: memory with a configuration of the
+# target size, and processor time and sent bytes of idle instances.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin="${1:-build}/bin"
@@ -45,7 +45,7 @@
         curl -s "http://$caller/metrics" | sed -n 's/^balsamloft_peer_bytes_sent_total //p'
     done | paste -sd+ | python3 -c "print(eval(input()))"
 }
-echo "resident before a configuration: $(resident) KB"
+echo "resident without a configuration: $(resident) KB"
 export BALSAMLOFT_OPERATOR_TOKEN=t
 "$bin/balsamloft" --admin="$admin" rules apply "$work/rules.json" > /dev/null
 "$bin/balsamloft" --admin="$admin" inventory apply "$work/inventory.json" > /dev/null
@@ -65,5 +65,5 @@
 import os, sys
 t0, t1, b0, b1, count, seconds = map(float, sys.argv[1:])
 cpu = (t1 - t0) / os.sysconf("SC_CLK_TCK") / count / seconds
-print(f"idle: {100 * cpu:.3f} % of a core and {(b1 - b0) / count / seconds:.0f} bytes/s sent to peers, a node")
+print(f"idle: {100 * cpu:.3f} % of a core and {(b1 - b0) / count / seconds:.0f} bytes/s sent to peers, per instance")
 PY
--- a/scripts/check-platform-names.sh
+++ b/scripts/check-platform-names.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Fails when a name of the platform's wire stands outside platform/ and deploy/.
-# The names are taken from platform/ itself: each string there that is written
-# with a hyphen, an underscore, a slash or a capital inside.
+# Fails if a name of the platform's protocol occurs outside platform/ and deploy/.
+# The names are taken from platform/ itself: each string literal there that contains a hyphen,
+# an underscore, a slash or an inner capital.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 names=$(grep -ohE '"(/?[A-Za-z][A-Za-z0-9]*([-_/A-Z][A-Za-z0-9]*)+)"' platform/*.cpp platform/*.h \
@@ -19,5 +19,5 @@
 if grep -rnE 'X-Balsamloft|rows-tx|rows-get|rows-feed|kvTotal' src testsuite; then
     found=1
 fi
-[ "$found" -eq 0 ] || { echo "names of the platform stand outside platform/" >&2; exit 1; }
+[ "$found" -eq 0 ] || { echo "names of the platform's protocol occur outside platform/" >&2; exit 1; }
 echo "platform names: $(printf '%s\n' "$names" | wc -l) checked, none outside platform/"
--- a/scripts/common.sh
+++ b/scripts/common.sh
@@ -1,5 +1,5 @@
-# What the scripts that start processes share. To be sourced; sets `work`, a
-# directory that goes with the script, and ends the processes in `pids`.
+# Shared by the scripts that start processes; to be sourced. Sets `work`, a temporary directory.
+# On exit, removes it and terminates the processes in `pids`.
 
 work=$(mktemp -d)
 pids=()
@@ -11,7 +11,7 @@
 }
 trap cleanup EXIT
 
-# Waits until a file has a line that matches, and prints what is matched.
+# Waits until a line of a file matches a pattern, and prints the match.
 wait_for() {
     local file=$1 pattern=$2 found
     for _ in $(seq 600); do
--- a/scripts/compare.py
+++ b/scripts/compare.py
@@ -1,16 +1,16 @@
 #!/usr/bin/env python3
 """Plays the same days with the same seeds on two checkouts and compares them.
 
-A day's worth differs by more between two seeds than most changes are worth, so
-a difference is told by pairs: one day and one seed, played on both. Each pair's
-difference counts once; its mean is given with the standard error.
+A day's worth (G in its report) differs more between two seeds than through most
+changes. Therefore each pair of a day and a seed is played on both checkouts, and
+the mean of the pairs' differences is printed with its standard error.
 
     scripts/compare.py --bench PROGRAM --site FILE --before DIR --after DIR \\
         --days trouble-1,scale-2 --seeds 5 [--mixes 8] [--vary] [--why TEXT]
 
-DIR is a checkout with a built target/. `--days all` takes each day of the site.
-The plays leave their entries in the checkouts' journals. With --keep DIR the
-reports and the log lines stay there, one pair of files for each play.
+DIR is a checkout with a built target/. `--days all` plays all days of the site.
+Each play adds an entry to the journal of its checkout. With --keep DIR, the
+report and the log lines of each play are kept there.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 import tomllib
 
 ENDPOINT = re.compile(r"[a-z]+-[0-9a-f]{6,}(@[0-9]+)?")
-# Seeds of the pairs: any list does, but it must be the same one each time.
+# First seed of the pairs. Any value works, but results are comparable only for the same one.
 FIRST_SEED = 1001
 
 
@@ -34,12 +34,12 @@
     parser.add_argument("--bench", required=True, help="the program that plays days")
     parser.add_argument("--site", required=True, type=pathlib.Path)
     parser.add_argument("--before", required=True, type=pathlib.Path)
-    parser.add_argument("--after", type=pathlib.Path, help="left out: only --before is played")
-    parser.add_argument("--days", default="trouble", help="names, files, 'all', or 'trouble': all but quiet")
-    parser.add_argument("--seeds", type=int, default=5, help="plays of each day")
+    parser.add_argument("--after", type=pathlib.Path, help="if omitted, only --before is played")
+    parser.add_argument("--days", default="trouble", help="names or files of days, 'all', or 'trouble' for all but quiet ones")
+    parser.add_argument("--seeds", type=int, default=5, help="number of seeds for each day")
     parser.add_argument("--first-seed", type=int, default=FIRST_SEED)
-    parser.add_argument("--mixes", type=int, default=0, help="days drawn from the site's troubles")
-    parser.add_argument("--vary", action="store_true", help="vary times and figures of the days")
+    parser.add_argument("--mixes", type=int, default=0, help="number of days with random faults of the site")
+    parser.add_argument("--vary", action="store_true", help="vary the times and parameters of the days")
     parser.add_argument("--jobs", type=int, default=6)
     parser.add_argument("--keep", type=pathlib.Path)
     parser.add_argument("--why", default="paired comparison")
@@ -47,7 +47,7 @@
 
 
 def plays_of(options):
-    """Pairs of a day and a seed."""
+    """Returns the pairs of a day and a seed to play."""
     days = [each["name"] for each in tomllib.loads(options.site.read_text())["day"]]
     if options.days == "trouble":
         days = [each for each in days if not each.startswith("quiet")]
@@ -59,7 +59,7 @@
 
 
 def cause(line):
-    """The cause of a request that did not go well, without ids; None when it did."""
+    """Returns the cause of a failed or late request without endpoint ids; None for other lines."""
     start = line.find("{")
     if start < 0 or '"ended"' not in line:
         return None
@@ -78,7 +78,7 @@
 
 
 def play(options, checkout, day, seed, where):
-    """Plays one day; returns its report with the causes, or None when it failed."""
+    """Plays one day; returns its report with the causes, or a dict with "error" on failure."""
     report = (where / f"{checkout.name}-{pathlib.Path(day).stem}-{seed}.json").resolve()
     command = [options.bench, "run", str(options.site.resolve()), day, "--seed", str(seed),
                "--log", "all", "--report", str(report), "--why", options.why]
@@ -116,11 +116,11 @@
 
 def spread(values):
     deviation = statistics.stdev(values) if len(values) > 1 else 0.0
-    return f"{statistics.mean(values):6.3f} ±{deviation:.3f} (least {min(values):.3f})"
+    return f"{statistics.mean(values):6.3f} ±{deviation:.3f} (minimum {min(values):.3f})"
 
 
 def table(title, pairs, of):
-    """Means before and after of what `of` reads from a report, and the difference."""
+    """Prints means before and after, and their difference, of the values that `of` returns."""
     keys = {}
     for before, after in pairs:
         for report in (before, after):
@@ -166,7 +166,7 @@
     print(f"{'all':28} before {spread([b['G'] for b, _ in pairs])}"
           f"  after {spread([a['G'] for _, a in pairs])}  change {change:+.3f} ±{error:.3f}")
     table("parts of the worth and prices", pairs, parts)
-    table("requests by cause, a day", pairs, lambda report: report["causes"])
+    table("failed or late requests per day, by cause", pairs, lambda report: report["causes"])
     return 1 if failed or broken else 0
 
 
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The main job end to end, as separate processes on loopback: the platform's
-# stand-in, six engines that each hold a third of the layers, a plain service,
-# and three instances in two failure domains.
+# Shows the main use case end to end, as separate processes on loopback: a fake platform, six fake
+# engines that each hold a third of the layers, a fake plain service, and three instances in two
+# failure domains.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin="${1:-build}/bin"
@@ -9,7 +9,7 @@
 
 say() { printf '\n== %s\n' "$*"; }
 
-# Starts a stand-in and sets `address` to where it listens.
+# Starts a fake and sets `address` to the address on which it listens.
 start_fake() {
     local name=$1
     shift
@@ -18,7 +18,7 @@
     address=$(wait_for "$work/$name.out" '127\.0\.0\.1:[0-9]+')
 }
 
-say "the platform and the endpoints (stand-ins)"
+say "fake platform and fake endpoints"
 start_fake platform "$bin/fake_platform"
 platform=$address
 endpoints=()
@@ -57,7 +57,7 @@
 printf 'callers at %s\n' "${callers[@]}"
 cli() { "$bin/balsamloft" --admin="${admins[0]}" --author=demo "$@"; }
 
-say "balsamloft rules apply, inventory apply (the shipped Thamel example, at the stand-ins' addresses)"
+say "balsamloft rules apply, inventory apply (the shipped Thamel example, at the fakes' addresses)"
 python3 scripts/demo_inventory.py "${endpoints[@]}" < examples/thamel/inventory.json > "$work/inventory.json"
 cli rules apply examples/thamel/rules.json | tail -n 1
 cli inventory apply "$work/inventory.json" | tail -n 1
@@ -75,7 +75,7 @@
     -d '{"model":"guidance","prompt":"Reels for board 7, line 2:","max_tokens":6,"stream":true}'
 request=$(sed -n 's/^Balsamloft-Request-Id: \([^\r]*\).*/\1/p' "$work/headers")
 
-say "why it went where it went: balsamloft explain $request"
+say "the routing decision: balsamloft explain $request"
 cli explain "$request"
 
 say "a non-idempotent call, sent twice with one key, through two instances"
@@ -87,7 +87,7 @@
 done
 echo "calls the service has executed: $(curl -s "http://$service/control/log" | grep -o '"run"' | wc -l)"
 
-say "a refusal: the deadline cannot be met; nothing was run"
+say "a refusal: the deadline cannot be met; nothing was executed"
 curl -s -i -H "$authorization" "http://${callers[0]}/v1/completions" -H "Balsamloft-Deadline-Ms: 20" \
     -d '{"model":"guidance","prompt":"too late","max_tokens":2000}' | grep -E '^HTTP|error'
 echo
@@ -103,5 +103,5 @@
 say "SIGTERM: each instance stops gracefully"
 kill -TERM "${daemons[@]}"
 for pid in "${daemons[@]}"; do
-    wait "$pid" && echo "instance $pid ended with 0"
+    wait "$pid" && echo "instance $pid exited with 0"
 done
--- a/scripts/demo_inventory.py
+++ b/scripts/demo_inventory.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Fits a shipped inventory to stand-ins on loopback.
+"""Adapts an example inventory to fake endpoints on loopback.
 
-Keeps, of the inventory on standard input, the named endpoints and the domains
-they are in, and gives each the address of its stand-in:
+Reads an inventory from standard input, keeps only the named endpoints and their
+domains, and sets the address of each endpoint:
 
     demo_inventory.py NAME=IP:PORT [NAME=IP:PORT ...] < inventory.json
 """
--- a/scripts/explain_ten.sh
+++ b/scripts/explain_ten.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Draws ten failed requests from gathered log lines and asks `balsamloft logs
-# explain` for the cause of each. Ends with 1 when one has no cause.
+# Picks ten random failed requests from collected log lines and prints the cause that `balsamloft
+# logs explain` gives for each. Exits with 1 if a request has no cause.
 #
 #     scripts/explain_ten.sh LINES [SEED] [BUILD]
 set -euo pipefail
@@ -28,5 +28,5 @@
     echo "$id  ${cause:-no cause}"
     [ -n "$cause" ] || without=$((without + 1))
 done
-echo "$without without a cause"
+echo "$without requests without a cause"
 [ "$without" -eq 0 ]
--- a/scripts/install-deps.sh
+++ b/scripts/install-deps.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs what the build, the tests and the demo need, from Debian's packages.
-# Does nothing when all of them are present, so it is cheap to call every time.
+# Installs the Debian packages that the build, the tests and the demo need.
+# Does nothing if all are installed, so it is cheap to run each time.
 set -euo pipefail
 
 packages=(
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs clang-tidy on every source file, as many at a time as there are cores.
+# Runs clang-tidy on every source file, with one process per core.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${1:-build}
--- a/scripts/overhead.sh
+++ b/scripts/overhead.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# What the daemon adds: the same completions against three stand-in engines
-# directly and through one daemon, in one run. Times depend on the machine;
-# the figures to look at are the differences and the ratios.
+# Measures the overhead of the daemon: runs the same completions against three fake engines
+# directly and through one daemon. Absolute times depend on the machine; the meaningful results
+# are the differences and ratios within one run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin="${1:-build}/bin"
--- a/scripts/plot_losses.sh
+++ b/scripts/plot_losses.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Draws late, refused and failed requests by second from gathered log lines.
+# Plots late, refused and failed requests per second from collected log lines.
 # Needs gnuplot (Debian package gnuplot-nox).
 #
 #     scripts/plot_losses.sh LINES OUTPUT.svg [BUILD]
--- a/scripts/runs.py
+++ b/scripts/runs.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Sums up journal/ in one table: a row for each site, code and purpose.
+"""Summarizes journal/ in a table with a row for each site, commit, command and purpose.
 
     scripts/runs.py [--since DATE] [--site NAME] [--head COMMIT] [--command hunt]
 
-Rows are in the order in which their first run began. `worth` is the mean over the days
-played and the least of them; `broken` counts days on which a rule was broken, by rule.
+Rows are ordered by the start of their first run. `worth` is the mean and the minimum worth (G)
+of the days played; `broken` counts the days on which a rule was broken, by rule.
 """
 
 import argparse
@@ -13,16 +13,16 @@
 import pathlib
 import statistics
 
-MOST_WHY = 80
+MAX_WHY_LENGTH = 80
 
 
 def arguments():
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--journal", type=pathlib.Path,
                         default=pathlib.Path(__file__).resolve().parent.parent / "journal")
-    parser.add_argument("--since", default="", help="runs that began then or later")
+    parser.add_argument("--since", default="", help="only runs that started at this time or later")
     parser.add_argument("--site", default="", help="part of the site's name")
-    parser.add_argument("--head", default="", help="beginning of the commit that was played")
+    parser.add_argument("--head", default="", help="prefix of the played commit")
     parser.add_argument("--command", default="", help="score, run, hunt, replay, sweep ...")
     return parser.parse_args()
 
@@ -54,7 +54,7 @@
     unfinished = sum(1 for run in runs if not run["ok"])
     plays = f"{len(runs)}" + (f" ({unfinished} not ok)" if unfinished else "")
     return (f"| {site} | {head} | {command} | {plays} | {len(days)} | {scores} | "
-            f"{worth_of(days)} | {broken_in(days)} | {why[:MOST_WHY]} |")
+            f"{worth_of(days)} | {broken_in(days)} | {why[:MAX_WHY_LENGTH]} |")
 
 
 def main():
@@ -62,7 +62,7 @@
     for run in runs_of(arguments()):
         code = run["head"][:7] + ("+" if run["dirty"] else "")
         groups[run["site"], code, run["cmd"], run["why"] or ""].append(run)
-    print("| site | code | command | runs | days | score | worth: mean, least | broken | why |")
+    print("| site | code | command | runs | days | score | worth: mean, minimum | broken | why |")
     print("|---|---|---|---|---|---|---|---|---|")
     for key, runs in groups.items():
         print(row(key, runs))
