--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Takes safeguards out, one at a time, and shows that a test then fails.
+"""Removes safeguards from the code, one at a time, and checks that a test fails without each.
 
-Works on a copy of the tree, so that nothing here is touched:
+Works on a copy of the tree:
 
     scripts/safeguards.py [--only NAME] [--work DIRECTORY]
 
-Prints a line for each safeguard; ends with 1 if a test passed without it.
+Prints a line for each safeguard; exits with 1 if one could not be removed or its test did not fail.
 """
 import argparse
 import pathlib
@@ -14,7 +14,7 @@
 import sys
 import tempfile
 
-# Name, file, text, replacement, programs to build, CTest name of the proof.
+# Name, file, code text, replacement, and the proof: test program and test name.
 SAFEGUARDS = [
     ("large rows are sent compressed", "src/libpeer/tableupdate.cpp",
      "rows.size() >= MinRowsToCompress || bytes > MaxUncompressedBytes", "rows.size() >= MinRowsToCompress",
@@ -243,14 +243,14 @@
     ("unanswered steps time out", "src/libbalsamloft/routerfailures.cpp",
      "if (!expired)\n            return handleTimeout(flight, now, actions);",
      "if (!expired)\n            return setTimer(flight, flight.request.deadline);",
-     "testsuite: connections that go silent while new ones work"),
+     "testsuite: streams continue if open connections go silent while new ones work"),
     ("a caller's disconnect cancels its request", "src/libbalsamloft/routerfailures.cpp",
      "if (Flight *flight = find(id))\n        refuse(*flight, RefusalCode::CallerGone",
      "if (Flight *flight = nullptr)\n        refuse(*flight, RefusalCode::CallerGone",
-     "testsuite: a caller that goes away in mid-stream: its work is cancelled"),
+     "testsuite: a caller that disconnects during a stream: all engines cancel the request"),
     ("a stop waits for what is in flight", "src/libweb/httpserver.cpp",
      "session->closeIfIdle();", "session->closeNow();",
-     "testsuite: SIGTERM under full load cuts nothing"),
+     "testsuite: SIGTERM under full load truncates no answer"),
     ("the deadline is checked again after a claim", "src/libbalsamloft/routeradmission.cpp",
      "if (now >= flight->request.deadline)", "if (false)",
      "router_test: a process that was paused does not send requests past their deadlines"),
@@ -360,7 +360,7 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--only", help="name of one safeguard")
-    parser.add_argument("--proofs", help="only safeguards whose proof begins so")
+    parser.add_argument("--proofs", help="only safeguards whose proof starts with one of these comma-separated prefixes")
     parser.add_argument("--work", help="directory for the copy, kept afterwards")
     arguments = parser.parse_args()
     root = pathlib.Path(__file__).resolve().parent.parent
@@ -378,7 +378,7 @@
         path = tree / file
         original = path.read_text()
         if original.count(text) != 1:
-            print(f"NOT APPLIED  {name}: the text is there {original.count(text)} times")
+            print(f"NOT APPLIED  {name}: the text occurs {original.count(text)} times")
             survived += 1
             continue
         path.write_text(original.replace(text, replacement))
--- a/testsuite/bad-input/bad_input_test.cpp
+++ b/testsuite/bad-input/bad_input_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A raw connection, for what an HTTP library would not send.
+/// A TCP connection for bytes that an HTTP library would not send.
 class RawConnection
 {
 public:
@@ -25,7 +25,7 @@
     void halfClose() { m_socket.shutdown(asio::ip::tcp::socket::shutdown_send); }
     void close() { m_socket.close(); }
 
-    /// Reads until \a mark was read, or the end.
+    /// Reads until \a mark is received or the connection is closed.
     std::string readUntil(const std::string &mark)
     {
         std::string text;
@@ -48,22 +48,22 @@
 
 std::string rawCompletion(const std::string &body)
 {
-    // The longest deadline, so that it is not what ends the request.
+    // The longest permitted deadline, so that the request does not exceed it.
     return "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer t\r\n"
            "Balsamloft-Deadline-Ms: 600000\r\nContent-Length: "
            + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-void checkWorks(Fleet &fleet)
+void checkServes(Fleet &fleet)
 {
     const Reply reply = send(fleet.daemon("i1").callers, "POST", "/v1/completions",
-                             completionBody("m", "still here", 3), Fleet::team());
+                             completionBody("m", "still here", 3), Fleet::teamHeaders());
     CHECK(reply.status == 200);
 }
 
 } // namespace
 
-TEST_CASE("bad requests each get a clear answer, and the daemon goes on", "[process]")
+TEST_CASE("invalid requests get the matching error, and later requests are served", "[process]")
 {
     Fleet fleet;
     fleet.startChains(1);
@@ -73,7 +73,7 @@
     fleet.configure();
     const std::string address = fleet.daemon("i1").callers;
     const std::string good = completionBody("m", "x", 3);
-    const auto post = [&](const std::string &body, Headers headers = Fleet::team()) {
+    const auto post = [&](const std::string &body, Headers headers = Fleet::teamHeaders()) {
         return send(address, "POST", "/v1/completions", body, headers);
     };
 
@@ -94,20 +94,20 @@
         CHECK(post(std::string(60, '[')).errorCode() == "invalid_request");
         for (const auto *name :
              {"Balsamloft-Deadline-Ms", "Balsamloft-Priority", "Balsamloft-Non-Idempotent"}) {
-            Headers headers = Fleet::team();
+            Headers headers = Fleet::teamHeaders();
             headers[name] = "nonsense";
             CHECK(post(good, headers).errorCode() == "invalid_request");
         }
-        CHECK(send(address, "GET", "/v1/completions", {}, Fleet::team()).status == 405);
-        CHECK(send(address, "GET", "/nowhere", {}, Fleet::team()).status == 404);
-        CHECK(send(address, "GET", "/services/nope/x", {}, Fleet::team()).errorCode()
+        CHECK(send(address, "GET", "/v1/completions", {}, Fleet::teamHeaders()).status == 405);
+        CHECK(send(address, "GET", "/nowhere", {}, Fleet::teamHeaders()).status == 404);
+        CHECK(send(address, "GET", "/services/nope/x", {}, Fleet::teamHeaders()).errorCode()
               == "unknown_service");
     }
     SECTION("size")
     {
         CHECK(post(std::string(20'000, 'x')).status == 413);
         CHECK(post(good, {{"X-Large", std::string(4000, 'x')}}).status == 431);
-        Headers headers = Fleet::team(std::string(1000, 'k'));
+        Headers headers = Fleet::teamHeaders(std::string(1000, 'k'));
         CHECK(post(good, headers).errorCode() == "invalid_request");
     }
     SECTION("not HTTP")
@@ -116,7 +116,7 @@
         connection.write("hello there\r\n\r\n");
         CHECK(connection.readAll().find("400 Bad Request") != std::string::npos);
     }
-    SECTION("a slow sender is cut off")
+    SECTION("a connection with an incomplete header is closed after the timeout")
     {
         RawConnection connection(address);
         connection.write("POST /v1/completions HTTP/1.1\r\nHost: x\r\n");
@@ -129,13 +129,14 @@
         connection.halfClose();
         CHECK(connection.readAll().find("caller_gone") != std::string::npos);
     }
-    checkWorks(fleet);
+    checkServes(fleet);
 }
 
-TEST_CASE("a caller that goes away in mid-stream: its work is cancelled", "[process][failure]")
+TEST_CASE("a caller that disconnects during a stream: all engines cancel the request",
+          "[process][failure]")
 {
-    // Nobody is left to see anything. The caller closes its connection while
-    // tokens stream; the engines must not go on working for it.
+    // Guards against engines that continue to compute tokens after the caller has closed its
+    // connection.
     Fleet fleet;
     fleet.startChains(1);
     fleet.startDaemon("i1");
@@ -150,5 +151,5 @@
         CHECK(waitUntil([&] { return fleet.log(engine).at("running") == 0; }));
         CHECK(fleet.log(engine).at("cancels") == 1);
     }
-    checkWorks(fleet);
+    checkServes(fleet);
 }
--- a/testsuite/claims/claims_test.cpp
+++ b/testsuite/claims/claims_test.cpp
@@ -19,32 +19,32 @@
     fleet.configure();
 }
 
-std::size_t executed(Fleet &fleet)
+std::size_t executedCalls(Fleet &fleet)
 {
     return fleet.log("s1").at("calls").as_array().size();
 }
 
 Reply callWithKey(Fleet &fleet, const std::string &daemon, const std::string &key)
 {
-    return send(fleet.daemon(daemon).callers, "POST", Path, "x", Fleet::team(key));
+    return send(fleet.daemon(daemon).callers, "POST", Path, "x", Fleet::teamHeaders(key));
 }
 
 } // namespace
 
-TEST_CASE("one key through two instances at the same time runs once", "[process][claims]")
+TEST_CASE("concurrent calls with one key at two instances are executed once", "[process][claims]")
 {
-    // Each caller gets the answer or "duplicate_in_progress". Both instances
-    // hold the same key at the same time; the table lets one claim through.
+    // The table accepts one of two concurrent claims for a key. Each caller gets the answer or
+    // "duplicate_in_progress".
     Fleet fleet;
     startFleet(fleet);
     std::vector<Call> calls;
     for (int i = 0; i < 10; ++i) {
         for (const auto *daemon : {"i1", "i2"})
-            calls.push_back(
-                {fleet.daemon(daemon).callers, "x", Fleet::team("key-" + std::to_string(i)), Path});
+            calls.push_back({fleet.daemon(daemon).callers, "x",
+                             Fleet::teamHeaders("key-" + std::to_string(i)), Path});
     }
     const auto replies = sendAll(calls);
-    CHECK(executed(fleet) == 10);
+    CHECK(executedCalls(fleet) == 10);
     for (int i = 0; i < 10; ++i) {
         const Reply &first = replies[i * 2];
         const Reply &second = replies[i * 2 + 1];
@@ -58,55 +58,54 @@
     }
 }
 
-TEST_CASE("the answer to a claim is lost", "[process][claims][failure]")
+TEST_CASE("a call succeeds if the answer to its claim is lost", "[process][claims][failure]")
 {
-    // The caller sees an ordinary answer. The claim takes effect but the table
-    // service's answer is lost; the instance reads the row, finds its own
-    // nonce and goes on, rather than take itself for a duplicate.
+    // The claim takes effect, but the platform's answer is lost. The instance must read the row and
+    // recognize its own nonce, or it would refuse its own call as a duplicate.
     Fleet fleet;
     startFleet(fleet);
-    fleet.faults(fleet.platform(), {{"lose_answers", 1}, {"lose_from", "claims"}});
+    fleet.injectFaults(fleet.platform(), {{"lose_answers", 1}, {"lose_from", "claims"}});
     CHECK(callWithKey(fleet, "i1", "k").status == 200);
-    const Reply repeat = callWithKey(fleet, "i2", "k");
-    CHECK(repeat.status == 200);
-    CHECK(repeat.headers.contains("Balsamloft-Replayed"));
-    CHECK(executed(fleet) == 1);
+    const Reply retry = callWithKey(fleet, "i2", "k");
+    CHECK(retry.status == 200);
+    CHECK(retry.headers.contains("Balsamloft-Replayed"));
+    CHECK(executedCalls(fleet) == 1);
 }
 
-TEST_CASE("an instance killed between claim and dispatch", "[process][claims][failure]")
+TEST_CASE("a key claimed by a killed instance is refused as in progress",
+          "[process][claims][failure]")
 {
-    // The first caller's connection breaks. Its instance dies after the claim
-    // took effect and before it could send anything. Nobody can tell that from
-    // outside, so the repeat is told "unknown" and nothing runs.
+    // The instance is killed after its claim took effect and before it sent the call. Other
+    // instances cannot distinguish this from an executed call, so the retry is answered with
+    // "unknown" and not executed.
     Fleet fleet;
     startFleet(fleet);
-    fleet.faults(fleet.platform(), {{"hold_answers_ms", 60000}});
-    std::thread killer([&] {
+    fleet.injectFaults(fleet.platform(), {{"hold_answers_ms", 60000}});
+    std::thread killThread([&] {
         waitUntil([&] {
             return send(fleet.platform(), "GET", "/control/stats").json().at("claims") == 1;
         });
         fleet.daemon("i1").process->signal(SIGKILL);
     });
     const Reply first = callWithKey(fleet, "i1", "k");
-    killer.join();
+    killThread.join();
     CHECK(first.status == 0);
-    fleet.faults(fleet.platform(), {{"hold_answers_ms", 0}});
-    const Reply repeat = callWithKey(fleet, "i2", "k");
-    CHECK(repeat.errorCode() == "duplicate_in_progress");
-    CHECK(repeat.ran() == "unknown");
-    CHECK(executed(fleet) == 0);
+    fleet.injectFaults(fleet.platform(), {{"hold_answers_ms", 0}});
+    const Reply retry = callWithKey(fleet, "i2", "k");
+    CHECK(retry.errorCode() == "duplicate_in_progress");
+    CHECK(retry.ran() == "unknown");
+    CHECK(executedCalls(fleet) == 0);
 }
 
-TEST_CASE("an instance frozen between claim and dispatch wakes up late",
+TEST_CASE("a call is not executed if its instance is paused past the deadline after the claim",
           "[process][claims][failure]")
 {
-    // The caller is told that its deadline has passed and that nothing ran.
-    // The instance is paused after the claim was sent and wakes up after the
-    // deadline; it looks at the clock again before any byte leaves.
+    // The instance is paused after it sent the claim and resumes after the deadline. It must check
+    // the deadline again before it sends the call, and report that nothing was executed.
     Fleet fleet;
     startFleet(fleet);
-    fleet.faults(fleet.platform(), {{"hold_answers_ms", 300}});
-    std::thread freezer([&] {
+    fleet.injectFaults(fleet.platform(), {{"hold_answers_ms", 300}});
+    std::thread pauseThread([&] {
         waitUntil([&] {
             return send(fleet.platform(), "GET", "/control/stats").json().at("claims") == 1;
         });
@@ -114,61 +113,63 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(1500));
         fleet.daemon("i1").process->signal(SIGCONT);
     });
-    Headers headers = Fleet::team("k");
+    Headers headers = Fleet::teamHeaders("k");
     headers["Balsamloft-Deadline-Ms"] = "1000";
     const Reply reply = send(fleet.daemon("i1").callers, "POST", Path, "x", headers);
-    freezer.join();
+    pauseThread.join();
     CHECK(reply.ran() == "no");
-    CHECK(executed(fleet) == 0);
-    fleet.faults(fleet.platform(), {{"hold_answers_ms", 0}});
-    // "Not run" was true, and the key is free again.
+    CHECK(executedCalls(fleet) == 0);
+    fleet.injectFaults(fleet.platform(), {{"hold_answers_ms", 0}});
+    // The claim was released, so the key can be used again.
     CHECK(waitUntil([&] { return callWithKey(fleet, "i2", "k").status == 200; }));
-    CHECK(executed(fleet) == 1);
+    CHECK(executedCalls(fleet) == 1);
 }
 
-TEST_CASE("an answer lost after a non-idempotent call was executed", "[process][claims][failure]")
+TEST_CASE("a non-idempotent call whose answer is lost is not retried", "[process][claims][failure]")
 {
-    // The caller is told "unknown". The service executes the call and drops
-    // the connection; sending it again would execute it twice.
+    // The service executes the call and closes the connection without an answer. A retry would
+    // execute the call twice, so the caller gets "unknown".
     Fleet fleet;
     startFleet(fleet);
-    fleet.faults(fleet.address("s1"), {{"drop_answers", 1}});
+    fleet.injectFaults(fleet.address("s1"), {{"drop_answers", 1}});
     const Reply first = callWithKey(fleet, "i1", "k");
     CHECK(first.errorCode() == "endpoint_failed");
     CHECK(first.ran() == "unknown");
-    const Reply repeat = callWithKey(fleet, "i2", "k");
-    CHECK(repeat.errorCode() == "duplicate_in_progress");
-    CHECK(executed(fleet) == 1);
+    const Reply retry = callWithKey(fleet, "i2", "k");
+    CHECK(retry.errorCode() == "duplicate_in_progress");
+    CHECK(executedCalls(fleet) == 1);
 }
 
-TEST_CASE("the platform is down for longer than any deadline", "[process][claims][failure]")
+TEST_CASE("calls with a key are refused during a platform outage, calls without one are executed",
+          "[process][claims][failure]")
 {
-    // Calls without a key go on. Keyed calls are refused as not run, and the
-    // configuration stays in force. Afterwards the same key works.
+    // A claim needs the platform, so a call with a key is refused at its deadline and reported as
+    // not executed. The configuration stays in use, and the same key works after the outage.
     Fleet fleet;
     startFleet(fleet);
-    fleet.faults(fleet.platform(), {{"down", true}});
-    Headers headers = Fleet::team("k");
+    fleet.injectFaults(fleet.platform(), {{"down", true}});
+    Headers headers = Fleet::teamHeaders("k");
     headers["Balsamloft-Deadline-Ms"] = "1500";
     const Reply refused = send(fleet.daemon("i1").callers, "POST", Path, "x", headers);
     CHECK(refused.errorCode() == "claim_unavailable");
     CHECK(refused.ran() == "no");
     CHECK(refused.headers.contains("Retry-After"));
-    CHECK(executed(fleet) == 0);
-    CHECK(send(fleet.daemon("i1").callers, "POST", Path, "x", Fleet::team()).status == 200);
-    CHECK(executed(fleet) == 1);
-    fleet.faults(fleet.platform(), {{"down", false}});
+    CHECK(executedCalls(fleet) == 0);
+    CHECK(send(fleet.daemon("i1").callers, "POST", Path, "x", Fleet::teamHeaders()).status == 200);
+    CHECK(executedCalls(fleet) == 1);
+    fleet.injectFaults(fleet.platform(), {{"down", false}});
     CHECK(waitUntil([&] { return callWithKey(fleet, "i1", "k").status == 200; }));
-    CHECK(executed(fleet) == 2);
+    CHECK(executedCalls(fleet) == 2);
 }
 
-TEST_CASE("a key used again with other content is refused", "[process][claims]")
+TEST_CASE("a key reused with different content is refused", "[process][claims]")
 {
     Fleet fleet;
     startFleet(fleet);
     CHECK(callWithKey(fleet, "i1", "k").status == 200);
-    const Reply other = send(fleet.daemon("i2").callers, "POST", Path, "other", Fleet::team("k"));
+    const Reply other =
+        send(fleet.daemon("i2").callers, "POST", Path, "other", Fleet::teamHeaders("k"));
     CHECK(other.status == 422);
     CHECK(other.errorCode() == "key_reused");
-    CHECK(executed(fleet) == 1);
+    CHECK(executedCalls(fleet) == 1);
 }
--- a/testsuite/command-line/command_line_test.cpp
+++ b/testsuite/command-line/command_line_test.cpp
@@ -5,7 +5,8 @@
 using namespace balsamloft;
 using namespace balsamloft::testsuite;
 
-TEST_CASE("exit codes of the command line", "[process]")
+TEST_CASE("the command-line tool returns a distinct exit code for each kind of failure",
+          "[process]")
 {
     Fleet fleet;
     fleet.startChains(1);
@@ -25,15 +26,15 @@
     CHECK(fleet.cli(daemon, {"config", "diff"}) == 1);
 }
 
-TEST_CASE("status, endpoints and explain, as text and as JSON", "[process]")
+TEST_CASE("explain, status, endpoints and config show print the expected text or JSON", "[process]")
 {
     Fleet fleet;
     fleet.startChains(1);
     fleet.startDaemon("i1");
     fleet.configure();
     const Daemon &daemon = fleet.daemon("i1");
-    const Reply reply =
-        send(daemon.callers, "POST", "/v1/completions", completionBody("m", "x", 3), Fleet::team());
+    const Reply reply = send(daemon.callers, "POST", "/v1/completions", completionBody("m", "x", 3),
+                             Fleet::teamHeaders());
     REQUIRE(reply.status == 200);
     std::string output;
     CHECK(fleet.cli(daemon, {"explain", reply.headers.at("Balsamloft-Request-Id")}, &output) == 0);
--- a/testsuite/common/feedtables.h
+++ b/testsuite/common/feedtables.h
@@ -1,7 +1,8 @@
 /// \file
-/// The tables of a stand-in store in the stand-in protocol: versions of one
-/// counter, each change since a version, conditions. State only; how and when it
-/// answers is for each stand-in to say.
+/// Versioned tables of a fake store that uses the stand-in protocol. All tables share one version
+/// counter, the write history answers queries for changes since a version, and commits are
+/// conditional on row versions. Holds state only: transport, delays and faults are up to each fake
+/// store.
 
 #pragma once
 
@@ -13,25 +14,26 @@
 
 namespace balsamloft::testsuite {
 
-/// Tables as the store holds them. Not thread-safe.
+/// The tables of a store. Not thread-safe.
 class FeedTables
 {
 public:
     void put(const std::string &table, const std::string &key, const std::string &value);
     void drop(const std::string &table, const std::string &key);
 
-    /// Newest version in \a table, and of all that was written.
+    /// Version of the last write to \a table; 0 if there was none.
     std::uint64_t newest(const std::string &table) const;
+    /// Version of the last write to any table.
     std::uint64_t version() const { return m_version; }
 
-    /// Body of an answer with the rows that \a table has.
+    /// Returns the body of an answer with all current rows of \a table.
     std::string rows(const std::string &table) const;
 
-    /// Body of an answer with each write and drop in \a table after the version
-    /// \a after, oldest first: a row that was written twice is there twice.
+    /// Returns the body of an answer with every write and deletion in \a table after version
+    /// \a after, oldest first. A row that was written twice appears twice.
     std::string changes(const std::string &table, std::uint64_t after) const;
 
-    /// Carries a transaction out when its conditions hold.
+    /// Executes the transaction in \a body if its conditions hold.
     /// \return status and body of the answer.
     std::pair<int, std::string> commit(const std::string &body);
 
@@ -46,8 +48,8 @@
 
     struct Table
     {
-        std::map<std::string, Row> rows; ///< by key, as written last
-        std::vector<Row> history; ///< oldest first
+        std::map<std::string, Row> rows; ///< by key, last write only
+        std::vector<Row> history; ///< all writes and deletions, oldest first
     };
 
     void write(const std::string &table, Row row);
--- a/testsuite/common/fleet.cpp
+++ b/testsuite/common/fleet.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Duration CallTimeout {110'000'000};
+constexpr Duration CallTimeout {110'000'000}; // 110 s
 
 HttpRequest makeRequest(const std::string &method, const std::string &target,
                         const std::string &body, const Headers &headers)
@@ -111,13 +111,13 @@
     settings.connectTimeout = std::chrono::seconds(60);
     HttpClient client(context, settings);
     std::vector<Reply> replies(calls.size());
-    std::size_t toWrite = calls.size();
+    std::size_t unsent = calls.size();
     for (std::size_t i = 0; i < calls.size(); ++i) {
         HttpClient::Options options;
         options.timeout = CallTimeout;
         options.freshConnection = true;
         options.maySend = [&] {
-            if (--toWrite == 0 && started)
+            if (--unsent == 0 && started)
                 boost::asio::post(context, started);
             return true;
         };
@@ -145,25 +145,28 @@
     m_platformAddress = m_platform->waitFor("listening on ([0-9.:]+)");
 }
 
-Process &Fleet::startEngine(const std::string &name, const EngineShape &shape)
+Process &Fleet::startEngine(const std::string &name, const EngineOptions &options)
 {
     auto process = std::make_unique<Process>(
         "fake_engine",
         std::vector<std::string> {
-            "--model=" + (shape.placeable ? "" : shape.model),
-            "--layer_begin=" + std::to_string(shape.placeable ? 0 : shape.layers.begin),
-            "--layer_end=" + std::to_string(shape.placeable ? 0 : shape.layers.end),
-            "--slots=" + std::to_string(shape.slots),
-            "--step_us=" + std::to_string(shape.stepMicros),
-            std::string("--checks_fencing=") + (shape.checksFencing ? "true" : "false")});
+            "--model=" + (options.placeable ? "" : options.model),
+            "--layer_begin=" + std::to_string(options.placeable ? 0 : options.layers.begin),
+            "--layer_end=" + std::to_string(options.placeable ? 0 : options.layers.end),
+            "--slots=" + std::to_string(options.slots),
+            "--step_us=" + std::to_string(options.stepMicros),
+            std::string("--checks_fencing=") + (options.checksFencing ? "true" : "false")});
     m_addresses[name] = process->waitFor("listening on ([0-9.:]+)");
-    json::object entry {{"name", name},           {"address", m_addresses[name]},
-                        {"domain", shape.domain}, {"slots", shape.slots},
-                        {"accelerator", "card"},  {"checks_fencing", shape.checksFencing}};
-    if (!shape.placeable) {
-        entry["model"] = shape.model;
+    json::object entry {{"name", name},
+                        {"address", m_addresses[name]},
+                        {"domain", options.domain},
+                        {"slots", options.slots},
+                        {"accelerator", "card"},
+                        {"checks_fencing", options.checksFencing}};
+    if (!options.placeable) {
+        entry["model"] = options.model;
         entry["version"] = "1";
-        entry["layers"] = {shape.layers.begin, shape.layers.end};
+        entry["layers"] = {options.layers.begin, options.layers.end};
     }
     m_inventory.push_back(std::move(entry));
     return *(m_endpoints[name] = std::move(process));
@@ -182,11 +185,11 @@
     return *(m_endpoints[name] = std::move(process));
 }
 
-void Fleet::startChains(int chains, const EngineShape &shape)
+void Fleet::startChains(int chains, const EngineOptions &options)
 {
     for (int chain = 0; chain < chains; ++chain) {
         for (std::uint32_t range = 0; range < 3; ++range) {
-            EngineShape part = shape;
+            EngineOptions part = options;
             part.layers = {range * 4, range * 4 + 4};
             startEngine("e" + std::to_string(chain) + std::to_string(range), part);
         }
@@ -273,17 +276,17 @@
 
 bool Fleet::waitForVersion(const Daemon &daemon, std::uint64_t version)
 {
-    const std::string wanted = "balsamloft_config_version ";
+    const std::string metric = "balsamloft_config_version ";
     return waitUntil([&] {
         const std::string metrics = send(daemon.callers, "GET", "/metrics").body;
-        const auto at = metrics.find(wanted);
+        const auto at = metrics.find(metric);
         return at != std::string::npos
-               && std::strtoull(metrics.c_str() + at + wanted.size(), nullptr, 10) >= version
+               && std::strtoull(metrics.c_str() + at + metric.size(), nullptr, 10) >= version
                && send(daemon.callers, "GET", "/readyz").status == 200;
     });
 }
 
-void Fleet::faults(const std::string &address, const json::object &faults)
+void Fleet::injectFaults(const std::string &address, const json::object &faults)
 {
     REQUIRE(send(address, "POST", "/control/faults", json::serialize(faults)).status == 200);
 }
@@ -293,7 +296,7 @@
     return send(m_addresses.at(endpoint), "GET", "/control/log").json();
 }
 
-void Fleet::listInstances(const json::array &instances)
+void Fleet::setInstanceList(const json::array &instances)
 {
     const json::object body {{"instances", instances}};
     REQUIRE(send(m_platformAddress, "POST", "/control/instances", json::serialize(body)).status
@@ -322,7 +325,7 @@
 void checkLayersOnce(const std::multimap<std::string, Fleet::Step> &steps,
                      const std::string &request, const std::string &text)
 {
-    // Runs of each (position, attempt), and the token that came of each.
+    // Layer ranges executed for each (position, attempt), and the resulting token.
     std::map<std::pair<int, int>, std::vector<std::pair<int, int>>> runs;
     std::map<std::pair<int, int>, std::string> tokens;
     const auto [begin, end] = steps.equal_range(request);
@@ -337,7 +340,7 @@
     }
     std::string rest = text;
     for (int position = 0; !rest.empty(); ++position) {
-        bool proved = false;
+        bool found = false;
         REQUIRE(position <= last);
         for (auto &[key, layers] : runs) {
             if (key.first != position || !tokens.contains(key) || !rest.starts_with(tokens[key]))
@@ -350,10 +353,10 @@
             }
             REQUIRE(next == Fleet::Layers);
             rest = rest.substr(tokens[key].size());
-            proved = true;
+            found = true;
             break;
         }
-        REQUIRE(proved);
+        REQUIRE(found);
     }
 }
 
--- a/testsuite/common/fleet.h
+++ b/testsuite/common/fleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// A small fleet of real processes: stand-ins and instances on loopback.
+/// Runs a small fleet of real processes on loopback: a fake platform, fake endpoints and instances.
 
 #pragma once
 
@@ -18,7 +18,7 @@
 
 using Headers = std::map<std::string, std::string>;
 
-/// An HTTP answer as a caller sees it.
+/// An HTTP answer as a caller receives it.
 struct Reply
 {
     unsigned status = 0; ///< 0: the connection failed
@@ -27,20 +27,21 @@
 
     boost::json::object json() const;
     std::string errorCode() const;
+    /// The "ran" field of the error body: whether the request was executed.
     std::string ran() const;
 
     /// The text of a completion, streamed or not.
     std::string text() const;
 
-    /// A streamed completion that ended as a whole one does.
+    /// Whether a streamed completion ended with its final marker.
     bool streamDone() const { return body.find("data: [DONE]") != std::string::npos; }
 };
 
-/// Sends one request on a connection of its own and waits for the whole answer.
+/// Sends one request on a separate connection and waits for the complete answer.
 Reply send(const std::string &address, const std::string &method, const std::string &target,
            const std::string &body = {}, const Headers &headers = {});
 
-/// One of the calls of sendAll().
+/// A request of sendAll().
 struct Call
 {
     std::string address;
@@ -49,8 +50,8 @@
     std::string target = "/v1/completions";
 };
 
-/// Sends all calls at the same time, each on a connection of its own.
-/// \a started is called once all are written.
+/// Sends all \a calls concurrently, each on a separate connection. Calls \a started once the last
+/// request is being sent.
 std::vector<Reply> sendAll(const std::vector<Call> &calls,
                            const std::function<void()> &started = {});
 
@@ -58,28 +59,28 @@
 std::string completionBody(const std::string &model, const std::string &prompt, int tokens,
                            bool stream = false);
 
-/// One instance of balsamloftd.
+/// A running instance of balsamloftd.
 struct Daemon
 {
     std::unique_ptr<Process> process;
-    std::string callers; ///< address
-    std::string admin;
-    std::string peers;
+    std::string callers; ///< address for callers
+    std::string admin; ///< address for operators
+    std::string peers; ///< address for other instances
 };
 
-/// Shape of a stand-in engine.
-struct EngineShape
+/// Settings of a fake engine.
+struct EngineOptions
 {
     std::string domain = "a";
     LayerRange layers {0, 4};
     int slots = 16;
     int stepMicros = 2000;
     bool checksFencing = false;
-    bool placeable = false; ///< the inventory leaves its model open
+    bool placeable = false; ///< the inventory assigns no model to it
     std::string model = "m";
 };
 
-/// Starts processes and builds the inventory that fits them.
+/// Starts processes and builds the inventory that lists them.
 class Fleet
 {
 public:
@@ -88,31 +89,35 @@
 
     Fleet();
 
-    Process &startEngine(const std::string &name, const EngineShape &shape = {});
+    Process &startEngine(const std::string &name, const EngineOptions &options = {});
     Process &startService(const std::string &name, const std::string &domain = "a");
     Daemon &startDaemon(const std::string &name, const std::string &domain = "a",
                         const std::vector<std::string> &flags = {});
 
-    /// Three engines of four layers each, \a chains times.
-    void startChains(int chains, const EngineShape &shape = {});
+    /// Starts \a chains chains of three engines with four layers each.
+    void startChains(int chains, const EngineOptions &options = {});
 
-    /// Applies rules and inventory, and waits until all daemons are ready with them.
+    /// Applies rules and inventory, and waits until all daemons use them and are ready.
     void configure();
     boost::json::object inventory() const;
     boost::json::object rules() const;
 
-    /// Runs the command line against \a daemon; the output goes to \a output.
+    /// Runs the command-line tool against \a daemon and returns its exit code; stores what it
+    /// prints in \a output.
     int cli(const Daemon &daemon, const std::vector<std::string> &arguments,
             std::string *output = nullptr);
 
     /// Writes \a document to a file and returns its path.
     std::string file(const std::string &name, const boost::json::value &document);
 
-    /// Waits until \a daemon has \a version in force.
+    /// Waits until \a daemon is ready with configuration \a version or a newer one.
     bool waitForVersion(const Daemon &daemon, std::uint64_t version);
-    void faults(const std::string &address, const boost::json::object &faults);
+    /// Sets the faults of the fake at \a address.
+    void injectFaults(const std::string &address, const boost::json::object &faults);
+    /// Returns what the fake \a endpoint has recorded.
     boost::json::object log(const std::string &endpoint);
-    void listInstances(const boost::json::array &instances);
+    /// Sets the instance list that the fake platform serves.
+    void setInstanceList(const boost::json::array &instances);
 
     Daemon &daemon(const std::string &name) { return m_daemons.at(name); }
     void stopDaemon(const std::string &name) { m_daemons.erase(name); }
@@ -121,7 +126,7 @@
     const std::string &platform() const { return m_platformAddress; }
     std::map<std::string, Daemon> &daemons() { return m_daemons; }
 
-    /// Steps that engines have executed, by request.
+    /// A step that an engine executed.
     struct Step
     {
         std::string engine;
@@ -131,11 +136,12 @@
         int end;
         std::string output;
     };
+    /// Returns the executed steps of all engines by request id.
     std::multimap<std::string, Step> steps();
 
-    /// Callers' headers with the token of team "t".
-    static Headers team() { return {{"Authorization", "Bearer t"}}; }
-    static Headers team(const std::string &key)
+    /// Headers of a caller of team "t", optionally with an idempotency key.
+    static Headers teamHeaders() { return {{"Authorization", "Bearer t"}}; }
+    static Headers teamHeaders(const std::string &key)
     {
         return {{"Authorization", "Bearer t"}, {"Idempotency-Key", key}};
     }
@@ -150,8 +156,8 @@
     std::map<std::string, Daemon> m_daemons;
 };
 
-/// Checks with Catch2 that each token of \a text came from an attempt in which
-/// every layer ran exactly once, in order.
+/// Checks that each token of \a text was computed by an attempt that executed every layer exactly
+/// once, in order.
 void checkLayersOnce(const std::multimap<std::string, Fleet::Step> &steps,
                      const std::string &request, const std::string &text);
 
--- a/testsuite/common/process.cpp
+++ b/testsuite/common/process.cpp
@@ -65,7 +65,7 @@
     });
     text = output();
     if (!found || !std::regex_search(text, match, regex))
-        throw std::runtime_error("no \"" + pattern + "\" in the output:\n" + text);
+        throw std::runtime_error("process output does not match \"" + pattern + "\":\n" + text);
     return match.size() > 1 ? match[1].str() : match[0].str();
 }
 
@@ -77,7 +77,7 @@
 int Process::wait()
 {
     m_child.wait();
-    // The end of the output comes with the end of the process.
+    // The reader thread finishes when the process closes its output.
     if (m_reader.joinable())
         m_reader.join();
     const int status = m_child.native_exit_code();
--- a/testsuite/common/process.h
+++ b/testsuite/common/process.h
@@ -12,8 +12,8 @@
 
 namespace balsamloft::testsuite {
 
-/// One child process; its output is collected. Ended with SIGKILL if it still
-/// runs when this goes.
+/// A child process whose standard output and error are collected. The destructor kills it with
+/// SIGKILL if it is still running.
 class Process
 {
 public:
@@ -23,15 +23,15 @@
     Process(const Process &) = delete;
     Process &operator=(const Process &) = delete;
 
-    /// Waits until the output matches \a pattern and returns its first group.
-    /// Throws when the process ends first or a minute passes.
+    /// Waits until the output matches \a pattern and returns the first group, or the whole match if
+    /// there is none. Throws if the process exits first or waitUntil() times out.
     std::string waitFor(const std::string &pattern);
 
     void signal(int number);
     int id() const { return m_child.id(); }
 
-    /// Waits for the end of the process and its output, and returns the exit code (128 + signal if
-    /// killed).
+    /// Waits until the process has exited and its output is read. Returns the exit code, or 128
+    /// plus the signal number if a signal terminated the process.
     int wait();
     bool running();
     std::string output() const;
--- a/testsuite/common/wait.h
+++ b/testsuite/common/wait.h
@@ -1,5 +1,5 @@
 /// \file
-/// Waiting on conditions, never for a time.
+/// Waits for conditions instead of fixed times.
 
 #pragma once
 
@@ -8,14 +8,14 @@
 
 namespace balsamloft::testsuite {
 
-/// Waits until \a condition holds. Returns false when it does not within two
-/// minutes: long enough for any machine, so that it only bounds a hang.
+/// Polls \a condition until it returns true. Returns false after two minutes, which is ample for a
+/// slow machine and only bounds a hang.
 template<typename Condition>
 bool waitUntil(Condition condition)
 {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::minutes(2);
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::minutes(2);
     while (!condition()) {
-        if (std::chrono::steady_clock::now() > end)
+        if (std::chrono::steady_clock::now() > deadline)
             return false;
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
--- a/testsuite/configuration/configuration_test.cpp
+++ b/testsuite/configuration/configuration_test.cpp
@@ -19,8 +19,8 @@
     return rules;
 }
 
-/// Whether the instance knows the token of team \a name.
-bool knowsTeam(const Daemon &daemon, const std::string &name)
+/// Whether \a daemon accepts the token of team \a name.
+bool acceptsTeam(const Daemon &daemon, const std::string &name)
 {
     const Reply reply =
         send(daemon.callers, "GET", "/services/nope/x", {}, {{"Authorization", "Bearer " + name}});
@@ -36,11 +36,11 @@
 
 } // namespace
 
-TEST_CASE("two operators race through different instances", "[process][failure]")
+TEST_CASE("concurrent changes conflict only if they edit the same entry", "[process][failure]")
 {
-    // Both start from version 2. Changes of different entries both take
-    // effect; of two changes of the same entry the second operator gets a
-    // conflict and is shown what the first has done.
+    // Two operators change version 2 through different instances. Changes to different entries both
+    // take effect. For two changes to the same entry, the second operator gets a conflict that
+    // names the entry and the author of the first change.
     Fleet fleet;
     fleet.startChains(1);
     fleet.startDaemon("i1", "a");
@@ -63,73 +63,73 @@
     CHECK(output.find("one.json") != std::string::npos);
     for (const auto *daemon : {"i1", "i2"}) {
         REQUIRE(fleet.waitForVersion(fleet.daemon(daemon), 4));
-        CHECK(waitUntil([&] { return knowsTeam(fleet.daemon(daemon), "x"); }));
-        CHECK(waitUntil([&] { return knowsTeam(fleet.daemon(daemon), "y"); }));
+        CHECK(waitUntil([&] { return acceptsTeam(fleet.daemon(daemon), "x"); }));
+        CHECK(waitUntil([&] { return acceptsTeam(fleet.daemon(daemon), "y"); }));
     }
 }
 
-TEST_CASE("the answer to an accepted change is lost", "[process][failure]")
+TEST_CASE("a change is committed once if the answer to its commit is lost", "[process][failure]")
 {
-    // The operator is told "accepted", once. The commit takes effect and its
-    // answer is lost; the instance reads the chain, finds the change's id and
-    // does not commit it again.
+    // The commit takes effect, but its answer is lost. The instance reads the configuration chain,
+    // finds the id of the change and does not commit it again.
     Fleet fleet;
     fleet.startChains(1);
     fleet.startDaemon("i1");
     fleet.configure();
-    fleet.faults(fleet.platform(), {{"lose_answers", 1}, {"lose_from", "config"}});
+    fleet.injectFaults(fleet.platform(), {{"lose_answers", 1}, {"lose_from", "config"}});
     std::string output;
     const auto file = fleet.file("r.json", withTeam(fleet.rules(), "x", 0.1));
     CHECK(fleet.cli(fleet.daemon("i1"), {"rules", "apply", file, "--change_id=abc"}, &output) == 0);
     CHECK(output.find("accepted: version 3") != std::string::npos);
     CHECK(version(fleet.daemon("i1")) == 3);
-    // Asked again with the same id, it is still version 3.
+    // A retry with the same id still returns version 3.
     CHECK(fleet.cli(fleet.daemon("i1"), {"rules", "apply", file, "--change_id=abc"}, &output) == 0);
     CHECK(output.find("accepted: version 3") != std::string::npos);
 }
 
-TEST_CASE("a change while the platform is down is refused and changes nothing",
-          "[process][failure]")
+TEST_CASE("a change during a platform outage is refused and has no effect", "[process][failure]")
 {
-    // The operator is told so; acceptance is never claimed. What is in force
-    // stays, and the same change works afterwards.
+    // The change must not be reported as accepted. The current configuration stays in use, and the
+    // same change succeeds after the outage.
     Fleet fleet;
     fleet.startChains(1);
     fleet.startDaemon("i1");
     fleet.configure();
-    fleet.faults(fleet.platform(), {{"down", true}});
+    fleet.injectFaults(fleet.platform(), {{"down", true}});
     const auto file = fleet.file("r.json", withTeam(fleet.rules(), "x", 0.1));
     CHECK(fleet.cli(fleet.daemon("i1"), {"rules", "apply", file}) == 4);
     CHECK(version(fleet.daemon("i1")) == 2);
     CHECK(send(fleet.daemon("i1").callers, "POST", "/v1/completions", completionBody("m", "x", 3),
-               Fleet::team())
+               Fleet::teamHeaders())
               .status
           == 200);
-    fleet.faults(fleet.platform(), {{"down", false}});
+    fleet.injectFaults(fleet.platform(), {{"down", false}});
     CHECK(waitUntil([&] { return fleet.cli(fleet.daemon("i1"), {"rules", "apply", file}) == 0; }));
 }
 
-TEST_CASE("an instance cut off from the platform follows its peers", "[process][failure]")
+TEST_CASE("an instance without a connection to the platform gets changes from its peers",
+          "[process][failure]")
 {
-    // A change is accepted elsewhere while one instance does not reach the
-    // platform. It hears of the version by gossip and fetches it from a peer.
+    // A change is accepted by another instance. This instance receives the version number by gossip
+    // and fetches the configuration from a peer.
     Fleet fleet;
     fleet.startChains(1);
     fleet.startDaemon("i1", "a");
-    // Its platform is an address where nobody listens.
+    // Nothing listens at this address.
     fleet.startDaemon("i2", "b", {"--platform=127.0.0.1:1"});
     fleet.configure();
     const auto file = fleet.file("r.json", withTeam(fleet.rules(), "x", 0.1));
     REQUIRE(fleet.cli(fleet.daemon("i1"), {"rules", "apply", file}) == 0);
     CHECK(fleet.waitForVersion(fleet.daemon("i2"), 3));
-    CHECK(waitUntil([&] { return knowsTeam(fleet.daemon("i2"), "x"); }));
+    CHECK(waitUntil([&] { return acceptsTeam(fleet.daemon("i2"), "x"); }));
 }
 
-TEST_CASE("all instances of a domain are replaced while the platform is down", "[process][failure]")
+TEST_CASE("new instances get the configuration from another domain during a platform outage",
+          "[process][failure]")
 {
-    // Callers of the domain are served again without the platform: the new
-    // instances are not ready before they hold a configuration, and get it
-    // from the other domain's. The old ones' version is not lost.
+    // All instances of a domain are replaced during the outage. The new ones become ready once they
+    // have fetched the configuration from the other domain, so the version that a replaced instance
+    // committed is not lost.
     Fleet fleet;
     fleet.startChains(1);
     fleet.startDaemon("i1", "a");
@@ -138,7 +138,7 @@
     const auto file = fleet.file("r.json", withTeam(fleet.rules(), "x", 0.1));
     REQUIRE(fleet.cli(fleet.daemon("i2"), {"rules", "apply", file}) == 0);
     REQUIRE(fleet.waitForVersion(fleet.daemon("i1"), 3));
-    fleet.faults(fleet.platform(), {{"down", true}});
+    fleet.injectFaults(fleet.platform(), {{"down", true}});
     fleet.daemon("i2").process->signal(SIGKILL);
     fleet.stopDaemon("i2");
     fleet.startDaemon("i3", "b");
@@ -146,26 +146,27 @@
     for (const auto *daemon : {"i3", "i4"}) {
         CHECK(fleet.waitForVersion(fleet.daemon(daemon), 3));
         CHECK(send(fleet.daemon(daemon).callers, "POST", "/v1/completions",
-                   completionBody("m", "x", 3), Fleet::team())
+                   completionBody("m", "x", 3), Fleet::teamHeaders())
                   .status
               == 200);
     }
 }
 
-TEST_CASE("a fresh instance without platform and peers is not ready", "[process][failure]")
+TEST_CASE("a new instance without platform and peers is not ready", "[process][failure]")
 {
-    // The balancer sends it nothing; who comes anyway is told "not run".
+    // A load balancer sends it no requests; a request that arrives anyway is refused as not
+    // executed.
     Fleet fleet;
-    fleet.faults(fleet.platform(), {{"down", true}});
+    fleet.injectFaults(fleet.platform(), {{"down", true}});
     fleet.startDaemon("i1");
     CHECK(send(fleet.daemon("i1").callers, "GET", "/readyz").status == 503);
     const Reply reply = send(fleet.daemon("i1").callers, "POST", "/v1/completions",
-                             completionBody("m", "x", 3), Fleet::team());
+                             completionBody("m", "x", 3), Fleet::teamHeaders());
     CHECK(reply.errorCode() == "not_ready");
     CHECK(reply.ran() == "no");
 }
 
-TEST_CASE("a bad document is refused with place and reason, and nothing changes", "[process]")
+TEST_CASE("an invalid document is refused with location and reason and has no effect", "[process]")
 {
     Fleet fleet;
     fleet.startChains(1);
@@ -182,7 +183,7 @@
     CHECK(version(fleet.daemon("i1")) == 2);
 }
 
-TEST_CASE("dry run, diff, history and rollback", "[process]")
+TEST_CASE("dry run, diff, rollback and audit show and apply the expected changes", "[process]")
 {
     Fleet fleet;
     fleet.startChains(1);
@@ -199,7 +200,7 @@
     CHECK(output.find("+ rules/teams/x") != std::string::npos);
     CHECK(fleet.cli(daemon, {"config", "rollback", "2"}, &output) == 0);
     CHECK(output.find("accepted: version 4") != std::string::npos);
-    CHECK(waitUntil([&] { return !knowsTeam(daemon, "x"); }));
+    CHECK(waitUntil([&] { return !acceptsTeam(daemon, "x"); }));
     CHECK(fleet.cli(daemon, {"audit"}, &output) == 0);
     CHECK(output.find("ann") != std::string::npos);
     CHECK(fleet.cli(daemon, {"config", "rollback", "99"}) == 2);
--- a/testsuite/crashing-requests/crashing_requests_test.cpp
+++ b/testsuite/crashing-requests/crashing_requests_test.cpp
@@ -1,4 +1,5 @@
-// Several `balsamloft-entry` processes before engines that a request ends.
+// Several `balsamloft-entry` processes with endpoints that crash when they execute a certain
+// request.
 
 #include "../entry/entryharness.h"
 
@@ -10,63 +11,63 @@
 
 namespace {
 
-constexpr auto NewsSpread = std::chrono::seconds(3); ///< ample, also for a slow machine
-constexpr auto LooksForEnds = std::chrono::milliseconds(5);
-constexpr auto Restart = std::chrono::milliseconds(300);
+constexpr auto PropagationTime = std::chrono::seconds(3); ///< ample for a slow machine
+constexpr auto CrashPollInterval = std::chrono::milliseconds(5);
+constexpr auto RestartDelay = std::chrono::milliseconds(300);
 
-/// An engine whose process ends when it is to run a request with the body "end!". Then
-/// nobody listens at its address; after a while another process comes elsewhere.
-class FragileEngine
+/// Simulates an endpoint whose process crashes when it receives a request with the body "end!". It
+/// then stops listening, and a new process starts at another address after RestartDelay.
+class CrashingEndpoint
 {
 public:
-    FragileEngine(FakeStore &store, std::string name, std::string service)
+    CrashingEndpoint(FakeStore &store, std::string name, std::string service)
         : m_store(store)
         , m_name(std::move(name))
         , m_service(std::move(service))
     {
         start();
-        m_keeper = std::thread([this] { keep(); });
+        m_restarter = std::thread([this] { restartAfterCrashes(); });
     }
 
-    ~FragileEngine()
+    ~CrashingEndpoint()
     {
-        m_over = true;
-        m_keeper.join();
+        m_stop = true;
+        m_restarter.join();
     }
 
-    int ends() const { return m_ends; }
+    int crashes() const { return m_crashes; }
 
 private:
     void start()
     {
-        m_ending = false;
+        m_crashed = false;
         m_server = std::make_unique<RawServer>([this](const std::string &request) {
             if (request.starts_with("GET /state"))
                 return RawAnswer {okAnswer(request, R"({"layers":[0,4],"orders":1})")};
             if (request.ends_with("end!")) {
-                m_ending = true;
+                m_crashed = true;
                 return RawAnswer {"", RawAnswer::Then::Silence};
             }
             if (m_service == "plain")
                 return RawAnswer {okAnswer(request, "done")};
             return RawAnswer {streamHead(request) + chunk(event(1)) + "0\r\n\r\n"};
         });
-        m_id = m_name + "-" + std::to_string(m_ends);
+        m_id = m_name + "-" + std::to_string(m_crashes);
         m_store.put("endpoints", m_id,
                     R"({"service":")" + m_service + R"(","address":")" + m_server->address()
                         + R"(","domain":"d","kind":"card")"
                         + (m_service == "model" ? R"(,"layers":[0,4]})" : "}"));
     }
 
-    void keep()
+    void restartAfterCrashes()
     {
-        while (!m_over) {
-            std::this_thread::sleep_for(LooksForEnds);
-            if (!m_ending)
+        while (!m_stop) {
+            std::this_thread::sleep_for(CrashPollInterval);
+            if (!m_crashed)
                 continue;
             m_server.reset();
-            m_ends += 1;
-            std::this_thread::sleep_for(Restart);
+            m_crashes += 1;
+            std::this_thread::sleep_for(RestartDelay);
             m_store.drop("endpoints", m_id);
             start();
         }
@@ -77,17 +78,17 @@
     std::string m_service;
     std::string m_id;
     std::unique_ptr<RawServer> m_server;
-    std::atomic<bool> m_ending {false};
-    std::atomic<bool> m_over {false};
-    std::atomic<int> m_ends {0};
-    std::thread m_keeper;
+    std::atomic<bool> m_crashed {false};
+    std::atomic<bool> m_stop {false};
+    std::atomic<int> m_crashes {0};
+    std::thread m_restarter;
 };
 
-/// Three instances before eight fragile engines or plain endpoints.
-class FragileFleet
+/// Three instances with eight crashing engines or crashing plain endpoints.
+class CrashingFleet
 {
 public:
-    explicit FragileFleet(const std::string &service)
+    explicit CrashingFleet(const std::string &service)
         : m_path(service == "model" ? "/stream/x" : "/safe/x")
     {
         store.put("configuration", "current",
@@ -96,8 +97,8 @@
                     {"name":"safe","host":"h","prefix":"/safe/","kind":"safe","attempts":3,"service":"plain"},
                     {"name":"stream","host":"h","prefix":"/stream/","kind":"stream","attempts":3,"service":"model"}]})");
         for (int i = 0; i < 8; ++i)
-            m_engines.push_back(
-                std::make_unique<FragileEngine>(store, "engine" + std::to_string(i), service));
+            m_endpoints.push_back(
+                std::make_unique<CrashingEndpoint>(store, "engine" + std::to_string(i), service));
         for (int i = 0; i < 3; ++i) {
             m_callers.push_back(freeAddress());
             m_arguments.push_back({"--name=entry-" + std::to_string(i), "--domain=d",
@@ -107,10 +108,10 @@
                                    "--revocation_ms=30000", "--retry_slack=300", "--log_all"});
         }
         m_processes.resize(m_callers.size());
-        startAll();
+        restartInstances();
     }
 
-    void startAll()
+    void restartInstances()
     {
         for (std::size_t i = 0; i < m_processes.size(); ++i) {
             if (m_processes[i]) {
@@ -120,10 +121,10 @@
             m_processes[i] = std::make_unique<Process>("balsamloft-entry-standin", m_arguments[i]);
         }
         for (std::size_t i = 0; i < m_processes.size(); ++i)
-            REQUIRE(waitUntil([&] { return ask(i, "fine").starts_with("HTTP/1.1 200"); }));
+            REQUIRE(waitUntil([&] { return send(i, "fine").starts_with("HTTP/1.1 200"); }));
     }
 
-    std::string ask(std::size_t instance, const std::string &body)
+    std::string send(std::size_t instance, const std::string &body)
     {
         const std::string id = "r" + std::to_string(m_next++);
         return exchange(m_callers[instance],
@@ -136,11 +137,11 @@
 
     std::size_t instances() const { return m_callers.size(); }
 
-    int ends() const
+    int crashes() const
     {
         int all = 0;
-        for (const auto &each : m_engines)
-            all += each->ends();
+        for (const auto &each : m_endpoints)
+            all += each->crashes();
         return all;
     }
 
@@ -148,7 +149,7 @@
 
 private:
     std::string m_path;
-    std::vector<std::unique_ptr<FragileEngine>> m_engines;
+    std::vector<std::unique_ptr<CrashingEndpoint>> m_endpoints;
     std::vector<std::string> m_callers;
     std::vector<std::vector<std::string>> m_arguments;
     std::vector<std::unique_ptr<Process>> m_processes;
@@ -157,26 +158,25 @@
 
 } // namespace
 
-// Guards against a request that ends one endpoint after another, at each instance anew.
-TEST_CASE(
-    "a request that ends endpoints is refused by all instances, also by those that come after",
-    "[process]")
+// Guards against a request that crashes one endpoint after another, again at each instance.
+TEST_CASE("a request that crashes endpoints is refused by all instances, also after their restart",
+          "[process]")
 {
-    FragileFleet fleet(GENERATE("model", "plain"));
+    CrashingFleet fleet(GENERATE("model", "plain"));
     for (std::size_t i = 0; i < 4; ++i) {
-        fleet.ask(i % fleet.instances(), "end!");
-        std::this_thread::sleep_for(NewsSpread);
+        fleet.send(i % fleet.instances(), "end!");
+        std::this_thread::sleep_for(PropagationTime);
     }
-    const int ends = fleet.ends();
-    CHECK(ends >= 1);
-    CHECK(ends <= 4);
+    const int crashes = fleet.crashes();
+    CHECK(crashes >= 1);
+    CHECK(crashes <= 4);
     for (std::size_t i = 0; i < fleet.instances(); ++i) {
-        CHECK(fleet.ask(i, "end!").starts_with("HTTP/1.1 503"));
-        CHECK(fleet.ask(i, "fine").starts_with("HTTP/1.1 200"));
+        CHECK(fleet.send(i, "end!").starts_with("HTTP/1.1 503"));
+        CHECK(fleet.send(i, "fine").starts_with("HTTP/1.1 200"));
     }
-    fleet.startAll();
-    std::this_thread::sleep_for(NewsSpread);
+    fleet.restartInstances();
+    std::this_thread::sleep_for(PropagationTime);
     for (std::size_t i = 0; i < fleet.instances(); ++i)
-        CHECK(fleet.ask(i, "end!").starts_with("HTTP/1.1 503"));
-    CHECK(fleet.ends() == ends);
+        CHECK(fleet.send(i, "end!").starts_with("HTTP/1.1 503"));
+    CHECK(fleet.crashes() == crashes);
 }
--- a/testsuite/failing-stages/failing_stages_test.cpp
+++ b/testsuite/failing-stages/failing_stages_test.cpp
@@ -21,7 +21,7 @@
     fleet.configure();
 }
 
-/// Streams \a count completions; once \a engine works for them, calls \a fault.
+/// Streams \a count completions and calls \a fault once \a engine has executed more than 30 steps.
 std::vector<Reply> streamDuring(Fleet &fleet, int count, const std::string &engine,
                                 const std::function<void()> &fault)
 {
@@ -29,19 +29,19 @@
     for (int i = 0; i < count; ++i)
         calls.push_back({fleet.daemon("i1").callers,
                          completionBody("m", "prompt " + std::to_string(i), Tokens, true),
-                         Fleet::team()});
-    std::thread breaker;
+                         Fleet::teamHeaders()});
+    std::thread faultThread;
     auto replies = sendAll(calls, [&] {
-        breaker = std::thread([&] {
+        faultThread = std::thread([&] {
             waitUntil([&] { return fleet.log(engine).at("steps").as_array().size() > 30; });
             fault();
         });
     });
-    breaker.join();
+    faultThread.join();
     return replies;
 }
 
-void checkAllWhole(const std::vector<Reply> &replies)
+void checkAllComplete(const std::vector<Reply> &replies)
 {
     for (std::size_t i = 0; i < replies.size(); ++i) {
         CHECK(replies[i].streamDone());
@@ -58,25 +58,24 @@
 
 } // namespace
 
-TEST_CASE("kill -9 of a stage in mid-token: streams go on elsewhere", "[process][failure]")
+TEST_CASE("streams through a killed engine continue on another chain", "[process][failure]")
 {
-    // Callers see whole streams. An engine in the middle of the chain is
-    // killed; its connections are reset with steps under way. Sending those
-    // again to the same attempt could run layers twice, so each request is
-    // resumed from the tokens it has been given.
+    // An engine in the middle of a chain is killed while steps are in flight. Sending those steps
+    // again in the same attempt could execute layers twice, so each request is resumed from the
+    // tokens already received.
     Fleet fleet;
     startFleet(fleet, 2, 5000);
-    checkAllWhole(streamDuring(fleet, 20, "e01", [&] { fleet.endpoint("e01").signal(SIGKILL); }));
+    checkAllComplete(
+        streamDuring(fleet, 20, "e01", [&] { fleet.endpoint("e01").signal(SIGKILL); }));
 }
 
-TEST_CASE("a stage frozen past every timeout: late answers are fenced", "[process][failure]")
+TEST_CASE("late answers of an engine paused past all timeouts are dropped", "[process][failure]")
 {
-    // Callers see whole streams. An engine stops without a word; the probe
-    // over a new connection shows that it is the engine. When it goes on, it
-    // answers steps of attempts that were given up; those answers are dropped.
+    // The probe on a new connection shows that the engine, not a connection, has failed. When the
+    // engine resumes, it answers steps of abandoned attempts; those answers are dropped.
     Fleet fleet;
     startFleet(fleet, 2, 5000);
-    checkAllWhole(streamDuring(fleet, 20, "e01", [&] {
+    checkAllComplete(streamDuring(fleet, 20, "e01", [&] {
         fleet.endpoint("e01").signal(SIGSTOP);
         waitUntil([&] {
             return metrics(fleet).find("balsamloft_ejections_total{worker=\"0\"} 0")
@@ -86,40 +85,40 @@
     }));
 }
 
-TEST_CASE("connections that go silent while new ones work", "[process][failure]")
+TEST_CASE("streams continue if open connections go silent while new ones work",
+          "[process][failure]")
 {
-    // Callers see whole streams. The engine's answers on open connections are
-    // swallowed without an error; new connections work. The probe tells the
-    // two apart, and the kept connections are not used again.
+    // The engine's answers on open connections are lost without an error; new connections work. The
+    // probe distinguishes this from a failed engine, and the open connections are not used again.
     Fleet fleet;
     startFleet(fleet, 1, 3000);
-    checkAllWhole(streamDuring(fleet, 8, "e01", [&] {
-        fleet.faults(fleet.address("e01"), {{"mute", 6}});
+    checkAllComplete(streamDuring(fleet, 8, "e01", [&] {
+        fleet.injectFaults(fleet.address("e01"), {{"mute", 6}});
     }));
 }
 
-TEST_CASE("answers crossed between two connections reach nobody", "[process][failure]")
+TEST_CASE("mismatched answers are not passed to callers", "[process][failure]")
 {
-    // Callers see their own whole streams. The engine swaps answers in pairs;
-    // only the echo of request, attempt, position and layers shows it.
+    // The engine swaps answers between pairs of connections. Only the echoed request, attempt,
+    // position and layers reveal the mismatch.
     Fleet fleet;
     startFleet(fleet, 2, 3000);
-    checkAllWhole(streamDuring(fleet, 20, "e00", [&] {
-        fleet.faults(fleet.address("e00"), {{"cross", 6}});
+    checkAllComplete(streamDuring(fleet, 20, "e00", [&] {
+        fleet.injectFaults(fleet.address("e00"), {{"cross", 6}});
     }));
     CHECK(metrics(fleet).find("balsamloft_crossed_answers_total{worker=\"0\"} 6")
           != std::string::npos);
 }
 
-TEST_CASE("a killed stage and a silent connection at once", "[process][failure]")
+TEST_CASE("streams complete despite a killed engine and silent connections at the same time",
+          "[process][failure]")
 {
-    // Callers see whole streams. One chain loses an engine for good while a
-    // connection to the other chain goes silent: both kinds of failure count
-    // against the same requests.
+    // One chain loses an engine permanently while connections to another chain go silent. Both
+    // kinds of failure count against the same requests.
     Fleet fleet;
     startFleet(fleet, 3, 3000);
-    checkAllWhole(streamDuring(fleet, 20, "e01", [&] {
-        fleet.faults(fleet.address("e11"), {{"mute", 4}});
+    checkAllComplete(streamDuring(fleet, 20, "e01", [&] {
+        fleet.injectFaults(fleet.address("e11"), {{"mute", 4}});
         fleet.endpoint("e01").signal(SIGKILL);
     }));
 }
--- a/testsuite/lease/lease_test.cpp
+++ b/testsuite/lease/lease_test.cpp
@@ -11,7 +11,7 @@
 
 const std::vector<std::string> ShortLease {"--lease_ms=1500", "--route_away_ms=500"};
 
-bool holds(const Daemon &daemon)
+bool holdsLease(const Daemon &daemon)
 {
     const Reply reply = send(daemon.admin, "GET", "/admin/v1/status", {},
                              {{"Authorization", std::string("Bearer ") + Fleet::OperatorToken}});
@@ -19,8 +19,8 @@
     return body.contains("holds_placement_lease") && body.at("holds_placement_lease").as_bool();
 }
 
-/// Fencing numbers of the orders that the engine has obeyed, in their order.
-std::vector<std::int64_t> obeyed(Fleet &fleet, const std::string &engine)
+/// Fencing numbers of the orders that the engine accepted, in order.
+std::vector<std::int64_t> fencingNumbers(Fleet &fleet, const std::string &engine)
 {
     std::vector<std::int64_t> numbers;
     const boost::json::object log = fleet.log(engine);
@@ -31,30 +31,31 @@
     return numbers;
 }
 
-void startFreeEngines(Fleet &fleet, bool checksFencing)
+void startEmptyEngines(Fleet &fleet, bool checksFencing)
 {
-    // One holds at most half of the model: 24 of 48 gigabytes.
+    // Each engine holds at most half of the model: 24 of 48 GB.
     for (const auto *name : {"f1", "f2"})
         fleet.startEngine(name, {.checksFencing = checksFencing, .placeable = true});
 }
 
-bool served(Fleet &fleet, const std::string &daemon)
+bool serves(Fleet &fleet, const std::string &daemon)
 {
     return send(fleet.daemon(daemon).callers, "POST", "/v1/completions",
-                completionBody("m", "x", 3), Fleet::team())
+                completionBody("m", "x", 3), Fleet::teamHeaders())
                .status
            == 200;
 }
 
 } // namespace
 
-TEST_CASE("free engines are given a model, split to fit, and then routed to", "[process]")
+TEST_CASE("empty engines are assigned layers that fit their memory, then receive requests",
+          "[process]")
 {
     Fleet fleet;
-    startFreeEngines(fleet, true);
+    startEmptyEngines(fleet, true);
     fleet.startDaemon("i1", "a", ShortLease);
     fleet.configure();
-    CHECK(waitUntil([&] { return served(fleet, "i1"); }));
+    CHECK(waitUntil([&] { return serves(fleet, "i1"); }));
     std::string output;
     CHECK(fleet.cli(fleet.daemon("i1"), {"placement"}, &output) == 0);
     CHECK(output.find("m: no replica yet") != std::string::npos);
@@ -62,46 +63,47 @@
     CHECK(fleet.log("f2").at("loads") == 1);
 }
 
-TEST_CASE("a holder frozen past its lease wakes up and orders nothing", "[process][failure]")
+TEST_CASE("a lease holder paused past its lease sends no orders when it resumes",
+          "[process][failure]")
 {
-    // Callers see nothing. The holder is stopped; another instance waits the
-    // lease out and takes over with a higher fencing number. The first wakes
-    // up still believing that it is in charge, looks at its lease, and is
-    // silent. No engine obeys a lower number after a higher one.
+    // The holder is paused; another instance waits until the lease expires and takes over with a
+    // higher fencing number. The first holder resumes with outdated state and must check its lease
+    // before it sends orders. No engine accepts a lower number after a higher one.
     for (const bool checksFencing : {true, false}) {
         Fleet fleet;
-        startFreeEngines(fleet, checksFencing);
+        startEmptyEngines(fleet, checksFencing);
         fleet.startDaemon("i1", "a", ShortLease);
         fleet.startDaemon("i2", "a", ShortLease);
         fleet.configure();
-        REQUIRE(waitUntil([&] { return served(fleet, "i1"); }));
-        REQUIRE(waitUntil([&] { return holds(fleet.daemon("i1")) || holds(fleet.daemon("i2")); }));
-        const std::string first = holds(fleet.daemon("i1")) ? "i1" : "i2";
+        REQUIRE(waitUntil([&] { return serves(fleet, "i1"); }));
+        REQUIRE(waitUntil(
+            [&] { return holdsLease(fleet.daemon("i1")) || holdsLease(fleet.daemon("i2")); }));
+        const std::string first = holdsLease(fleet.daemon("i1")) ? "i1" : "i2";
         const std::string second = first == "i1" ? "i2" : "i1";
         fleet.daemon(first).process->signal(SIGSTOP);
-        REQUIRE(waitUntil([&] { return holds(fleet.daemon(second)); }));
+        REQUIRE(waitUntil([&] { return holdsLease(fleet.daemon(second)); }));
         fleet.daemon(first).process->signal(SIGCONT);
-        REQUIRE(waitUntil([&] { return !holds(fleet.daemon(first)); }));
-        CHECK(holds(fleet.daemon(second)));
-        // It may not have read yet what the first one placed.
-        CHECK(waitUntil([&] { return served(fleet, second); }));
+        REQUIRE(waitUntil([&] { return !holdsLease(fleet.daemon(first)); }));
+        CHECK(holdsLease(fleet.daemon(second)));
+        // The second holder may not have read the first one's placement yet.
+        CHECK(waitUntil([&] { return serves(fleet, second); }));
         for (const auto *engine : {"f1", "f2"}) {
-            const auto numbers = obeyed(fleet, engine);
+            const auto numbers = fencingNumbers(fleet, engine);
             CHECK(std::is_sorted(numbers.begin(), numbers.end()));
-            // What the first holder loaded is kept: the second finds it in
-            // the configuration and on the engines.
+            // The second holder keeps the loaded layers: it finds them in the configuration and on
+            // the engines.
             CHECK(fleet.log(engine).at("loads") == 1);
         }
     }
 }
 
-TEST_CASE("a planned stop hands the lease over at once", "[process]")
+TEST_CASE("a stopping instance releases its lease at once", "[process]")
 {
     Fleet fleet;
     fleet.startDaemon("i1", "a", {"--lease_ms=100000"});
     fleet.configure();
-    REQUIRE(waitUntil([&] { return holds(fleet.daemon("i1")); }));
+    REQUIRE(waitUntil([&] { return holdsLease(fleet.daemon("i1")); }));
     fleet.startDaemon("i2", "a", {"--lease_ms=3000"});
     fleet.daemon("i1").process->signal(SIGTERM);
-    CHECK(waitUntil([&] { return holds(fleet.daemon("i2")); }));
+    CHECK(waitUntil([&] { return holdsLease(fleet.daemon("i2")); }));
 }
--- a/testsuite/leaving-endpoint/leaving_endpoint_test.cpp
+++ b/testsuite/leaving-endpoint/leaving_endpoint_test.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-boost::json::array listOf(const std::string &leaving, int generation)
+boost::json::array leavingList(const std::string &endpoint, int generation)
 {
     return {boost::json::object {
-        {"name", leaving}, {"peer_address", ""}, {"generation", generation}, {"leaving", true}}};
+        {"name", endpoint}, {"peer_address", ""}, {"generation", generation}, {"leaving", true}}};
 }
 
-/// Whether the instance knows that the endpoint is leaving.
-bool seenLeaving(const Daemon &daemon, const std::string &endpoint)
+/// Whether \a daemon reports \a endpoint as leaving.
+bool reportsLeaving(const Daemon &daemon, const std::string &endpoint)
 {
     const Reply reply = send(daemon.admin, "GET", "/admin/v1/endpoints", {},
                              {{"Authorization", std::string("Bearer ") + Fleet::OperatorToken}});
@@ -27,7 +27,8 @@
     });
 }
 
-std::size_t prefills(Fleet &fleet, const std::string &engine)
+/// Number of requests of which \a engine has executed steps.
+std::size_t executedRequests(Fleet &fleet, const std::string &engine)
 {
     std::set<std::string> requests;
     const boost::json::object log = fleet.log(engine);
@@ -36,57 +37,56 @@
     return requests.size();
 }
 
-std::vector<Call> someCalls(Fleet &fleet, int count)
+std::vector<Call> makeCalls(Fleet &fleet, int count)
 {
     std::vector<Call> calls;
     for (int i = 0; i < count; ++i)
         calls.push_back({fleet.daemon("i" + std::to_string(i % 2 + 1)).callers,
-                         completionBody("m", "p" + std::to_string(i), 5), Fleet::team()});
+                         completionBody("m", "p" + std::to_string(i), 5), Fleet::teamHeaders()});
     return calls;
 }
 
 } // namespace
 
-TEST_CASE("an endpoint on the list of the leaving gets nothing new", "[process][failure]")
+TEST_CASE("an endpoint that is listed as leaving gets no new requests", "[process][failure]")
 {
-    // Callers see nothing. The platform lists an engine as leaving; only one
-    // instance reads that list in time, the other hears of it by gossip. A
-    // list of before, served again, does not bring the endpoint back.
+    // Only one instance reads the platform's list in time; the other receives the state by gossip.
+    // An older list that is served again must not revoke the state.
     Fleet fleet;
     fleet.startChains(2);
     fleet.startDaemon("i1", "a");
     fleet.startDaemon("i2", "b");
     fleet.configure();
-    for (const Reply &reply : sendAll(someCalls(fleet, 40)))
+    for (const Reply &reply : sendAll(makeCalls(fleet, 40)))
         CHECK(reply.status == 200);
-    REQUIRE(prefills(fleet, "e00") > 0);
-    fleet.listInstances(listOf("e00", 1));
+    REQUIRE(executedRequests(fleet, "e00") > 0);
+    fleet.setInstanceList(leavingList("e00", 1));
     for (const auto *daemon : {"i1", "i2"})
-        REQUIRE(waitUntil([&] { return seenLeaving(fleet.daemon(daemon), "e00"); }));
-    fleet.listInstances({boost::json::object {
+        REQUIRE(waitUntil([&] { return reportsLeaving(fleet.daemon(daemon), "e00"); }));
+    fleet.setInstanceList({boost::json::object {
         {"name", "e00"}, {"peer_address", ""}, {"generation", 1}, {"leaving", false}}});
-    const std::size_t before = prefills(fleet, "e00");
+    const std::size_t before = executedRequests(fleet, "e00");
     for (int round = 0; round < 3; ++round) {
-        for (const Reply &reply : sendAll(someCalls(fleet, 40)))
+        for (const Reply &reply : sendAll(makeCalls(fleet, 40)))
             CHECK(reply.status == 200);
     }
-    CHECK(prefills(fleet, "e00") == before);
+    CHECK(executedRequests(fleet, "e00") == before);
 }
 
-TEST_CASE("an endpoint that says itself that it is leaving", "[process][failure]")
+TEST_CASE("an endpoint that refuses requests as leaving executes none, and no request fails",
+          "[process][failure]")
 {
-    // Callers see nothing. The engine refuses new work and says why; the
-    // refusal proves that nothing ran, so the request goes elsewhere, and the
-    // other instances are told. Work begun before is finished there.
+    // The refusal proves that nothing was executed, so the request is sent to another engine, and
+    // the other instances are notified. The engine finishes the requests that it is executing.
     Fleet fleet;
     fleet.startChains(2);
     fleet.startDaemon("i1", "a");
     fleet.startDaemon("i2", "b");
     fleet.configure();
-    fleet.faults(fleet.address("e00"), {{"leaving", true}});
-    for (const Reply &reply : sendAll(someCalls(fleet, 40)))
+    fleet.injectFaults(fleet.address("e00"), {{"leaving", true}});
+    for (const Reply &reply : sendAll(makeCalls(fleet, 40)))
         CHECK(reply.status == 200);
     for (const auto *daemon : {"i1", "i2"})
-        CHECK(waitUntil([&] { return seenLeaving(fleet.daemon(daemon), "e00"); }));
-    CHECK(prefills(fleet, "e00") == 0);
+        CHECK(waitUntil([&] { return reportsLeaving(fleet.daemon(daemon), "e00"); }));
+    CHECK(executedRequests(fleet, "e00") == 0);
 }
--- a/testsuite/planned-stop/planned_stop_test.cpp
+++ b/testsuite/planned-stop/planned_stop_test.cpp
@@ -9,10 +9,10 @@
 using namespace balsamloft;
 using namespace balsamloft::testsuite;
 
-TEST_CASE("SIGTERM under full load cuts nothing", "[process]")
+TEST_CASE("SIGTERM under full load truncates no answer", "[process]")
 {
-    // Callers see whole streams. An instance is told to stop, twice, while it
-    // streams to all of them; the second signal must not end it early.
+    // The instance receives SIGTERM twice while all requests are in flight. The second signal must
+    // not terminate it early.
     Fleet fleet;
     fleet.startChains(2, {.slots = 32, .stepMicros = 5000});
     fleet.startDaemon("i1");
@@ -21,19 +21,19 @@
     for (int i = 0; i < 50; ++i)
         calls.push_back({fleet.daemon("i1").callers,
                          completionBody("m", "p" + std::to_string(i), 60, i % 2 == 0),
-                         Fleet::team()});
+                         Fleet::teamHeaders()});
     Process &process = *fleet.daemon("i1").process;
-    std::thread stopper;
+    std::thread stopThread;
     const auto replies = sendAll(calls, [&] {
-        stopper = std::thread([&] {
-            // All have arrived, none has finished.
+        stopThread = std::thread([&] {
+            // All requests have arrived and none has finished.
             waitUntil([&] { return fleet.log("e00").at("steps").as_array().size() > 50; });
             process.signal(SIGTERM);
             process.waitFor("not ready from now on");
             process.signal(SIGTERM);
         });
     });
-    stopper.join();
+    stopThread.join();
     for (int i = 0; i < 50; ++i) {
         CHECK(replies[i].status == 200);
         CHECK(replies[i].text()
@@ -43,10 +43,10 @@
     CHECK(process.output().find("already stopping") != std::string::npos);
 }
 
-TEST_CASE("a stopping instance says so before it closes its port", "[process]")
+TEST_CASE("a draining instance reports not ready before it closes its port", "[process]")
 {
-    // The balancer sees "not ready" while connections are still accepted; a
-    // caller that comes meanwhile gets an honest refusal, not a closed port.
+    // The load balancer sees "not ready" while connections are still accepted. A request that
+    // arrives meanwhile gets a refusal instead of a closed port.
     Fleet fleet;
     fleet.startChains(1);
     fleet.startDaemon("i1", "a", {"--drain_grace_ms=60000"});
@@ -57,7 +57,7 @@
     CHECK(waitUntil([&] { return send(callers, "GET", "/readyz").status == 503; }));
     CHECK(send(callers, "GET", "/healthz").status == 200);
     const Reply reply =
-        send(callers, "POST", "/v1/completions", completionBody("m", "x", 3), Fleet::team());
+        send(callers, "POST", "/v1/completions", completionBody("m", "x", 3), Fleet::teamHeaders());
     CHECK(reply.errorCode() == "draining");
     CHECK(reply.ran() == "no");
 }
--- a/testsuite/settings/settings_test.cpp
+++ b/testsuite/settings/settings_test.cpp
@@ -15,11 +15,12 @@
     std::string output;
 };
 
+/// Runs balsamloftd with \a extra flags, added to the required ones if \a withRequired is set.
 Outcome run(std::vector<std::string> extra, const std::vector<std::string> &environment = {},
-            bool complete = true)
+            bool withRequired = true)
 {
     std::vector<std::string> arguments;
-    if (complete)
+    if (withRequired)
         arguments = {"--name=i", "--domain=d", "--platform=127.0.0.1:1",
                      "--operator_token_sha256=" + sha256Hex("x")};
     arguments.insert(arguments.end(), extra.begin(), extra.end());
@@ -35,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("wrong settings end the start with a clear line", "[process]")
+TEST_CASE("invalid settings fail the start with exit code 2 and a message", "[process]")
 {
     const struct
     {
@@ -63,7 +64,7 @@
     }
 }
 
-TEST_CASE("all that is missing is named at once", "[process]")
+TEST_CASE("all missing settings are reported together", "[process]")
 {
     const Outcome outcome = run({}, {}, false);
     CHECK(outcome.code == 2);
@@ -71,7 +72,7 @@
         CHECK(contains(outcome.output, std::string(flag) + ": is required"));
 }
 
-TEST_CASE("settings come from the environment, and flags go first", "[process]")
+TEST_CASE("settings are read from the environment, and flags take precedence", "[process]")
 {
     CHECK(contains(run({"--check"}, {"BALSAMLOFTD_MAX_QUEUED=0"}).output, "--max_queued: 0 must"));
     CHECK(run({"--check", "--max_queued=5"}, {"BALSAMLOFTD_MAX_QUEUED=0"}).code == 0);
@@ -80,7 +81,7 @@
     CHECK(contains(unknown.output, "BALSAMLOFTD_NO_SUCH: there is no setting"));
 }
 
-TEST_CASE("the flag check checks and exits, help lists the flags", "[process]")
+TEST_CASE("the flag --check validates the settings and exits, --help lists the flags", "[process]")
 {
     const Outcome check = run({"--check"});
     CHECK(check.code == 0);
@@ -90,7 +91,7 @@
     CHECK_FALSE(help.waitFor("--drain_grace_ms").empty());
 }
 
-TEST_CASE("an address in use ends the start", "[process]")
+TEST_CASE("an address in use fails the start with exit code 1", "[process]")
 {
     Process fake("fake_platform", {});
     const std::string taken = fake.waitFor("listening on ([0-9.:]+)");
--- a/testsuite/whole-answers/whole_answers_test.cpp
+++ b/testsuite/whole-answers/whole_answers_test.cpp
@@ -7,7 +7,7 @@
 using namespace balsamloft;
 using namespace balsamloft::testsuite;
 
-TEST_CASE("200 callers at once each get their own whole answer", "[process]")
+TEST_CASE("200 concurrent callers each get their own complete answer", "[process]")
 {
     Fleet fleet;
     fleet.startChains(2, {.slots = 32});
@@ -22,7 +22,7 @@
         const auto &daemon = fleet.daemon("i" + std::to_string(i % 3 + 1));
         calls.push_back({daemon.callers,
                          completionBody("m", "prompt " + std::to_string(i), 20, i % 2 == 0),
-                         Fleet::team()});
+                         Fleet::teamHeaders()});
     }
     const auto replies = sendAll(calls);
     const auto steps = fleet.steps();
@@ -36,14 +36,14 @@
     }
 }
 
-TEST_CASE("a service call passes through with its method, path and body", "[process]")
+TEST_CASE("a service receives the method, path and body of a call unchanged", "[process]")
 {
     Fleet fleet;
     fleet.startService("s1");
     fleet.startDaemon("i1");
     fleet.configure();
     const Reply reply = send(fleet.daemon("i1").callers, "PUT", "/services/s/records/7?x=1",
-                             "content", Fleet::team());
+                             "content", Fleet::teamHeaders());
     CHECK(reply.status == 200);
     CHECK(reply.json().at("method") == "PUT");
     CHECK(reply.json().at("path") == "/records/7?x=1");
