--- a/src/bench/control_bench.cpp
+++ b/src/bench/control_bench.cpp
@@ -1,5 +1,5 @@
-// The control plane in virtual time; the counters repeat exactly, but for
-// cpu_us, which depends on the machine.
+// Benchmarks of the control plane in virtual time. All counters except cpu_us
+// are deterministic; cpu_us depends on the machine.
 
 #include "controlscenarios.h"
 
@@ -13,19 +13,19 @@
 
 void spread(benchmark::State &state)
 {
-    SpreadScenario scenario;
+    PropagationScenario scenario;
     scenario.nodes = static_cast<std::size_t>(state.range(0));
     scenario.gossip = state.range(1) != 1;
     scenario.polling = state.range(1) != 0;
-    scenario.cutOff = static_cast<double>(state.range(2)) / 100;
-    SpreadFigures figures;
+    scenario.partitionedShare = static_cast<double>(state.range(2)) / 100;
+    PropagationFigures figures;
     for (auto _ : state) // NOLINT(readability-identifier-naming)
-        figures = runSpread(scenario);
+        figures = runPropagation(scenario);
     static constexpr const char *Names[] = {"gossip alone", "polling alone", "both"};
     state.SetLabel(Names[state.range(1)]);
     state.counters["median_s"] = figures.medianSeconds;
     state.counters["worst_s"] = figures.worstSeconds;
-    state.counters["missed"] = static_cast<double>(figures.missed);
+    state.counters["missed"] = static_cast<double>(figures.timeouts);
 }
 
 void cost(benchmark::State &state)
@@ -52,7 +52,7 @@
     state.counters["false"] = static_cast<double>(figures.falseDeaths);
 }
 
-/// Bytes of memory that this process has resident.
+/// Returns the resident set size of this process in bytes.
 double residentBytes()
 {
     std::ifstream stream("/proc/self/statm");
--- a/src/bench/controlscenarios.cpp
+++ b/src/bench/controlscenarios.cpp
@@ -23,10 +23,10 @@
 
 } // namespace
 
-SpreadFigures runSpread(const SpreadScenario &scenario)
+PropagationFigures runPropagation(const PropagationScenario &scenario)
 {
     std::vector<double> times;
-    SpreadFigures figures;
+    PropagationFigures figures;
     for (std::uint64_t seed = 1; seed <= scenario.seeds; ++seed) {
         ControlHarness harness({.nodes = scenario.nodes,
                                 .loss = scenario.loss,
@@ -36,12 +36,12 @@
         harness.runFor(std::chrono::seconds(30));
         harness.propose(0, ControlHarness::teamProposal("a", "a", 0.1));
         if (!harness.timeToVersion(1, std::chrono::seconds(60))) {
-            ++figures.missed;
+            ++figures.timeouts;
             continue;
         }
-        const auto cut =
-            static_cast<std::size_t>(scenario.cutOff * static_cast<double>(scenario.nodes));
-        for (std::size_t i = 0; i < cut; ++i)
+        const auto partitioned = static_cast<std::size_t>(scenario.partitionedShare
+                                                          * static_cast<double>(scenario.nodes));
+        for (std::size_t i = 0; i < partitioned; ++i)
             harness.node(harness.size() - 1 - i).platformReachable = false;
         harness.runFor(std::chrono::milliseconds(1234 * seed));
         harness.propose(1, ControlHarness::teamProposal("b", "b", 0.1));
@@ -49,7 +49,7 @@
         if (took)
             times.push_back(seconds(*took));
         else
-            ++figures.missed;
+            ++figures.timeouts;
     }
     if (times.empty())
         return figures;
@@ -90,11 +90,11 @@
 {
     ControlHarness harness({.nodes = nodes, .loss = 0.01});
     harness.runFor(std::chrono::seconds(30));
-    ConfigProposal whole;
-    whole.id = "whole";
+    ConfigProposal proposal;
+    proposal.id = "whole";
     for (const auto &[path, text] : fleetEntries(endpoints, teams, 32))
-        whole.edits.push_back({path, std::nullopt, text});
-    harness.propose(0, std::move(whole));
+        proposal.edits.push_back({path, std::nullopt, text});
+    harness.propose(0, std::move(proposal));
     harness.timeToVersion(1, std::chrono::seconds(60));
     harness.runFor(std::chrono::seconds(30));
     const auto totals = [&] {
@@ -128,21 +128,21 @@
     ControlHarness harness({.nodes = nodes, .loss = loss});
     harness.runFor(std::chrono::seconds(120));
     DetectionFigures figures;
-    const std::size_t gone = nodes / 2;
-    const std::string name = harness.node(gone).name;
+    const std::size_t departed = nodes / 2;
+    const std::string name = harness.node(departed).name;
     const MemberState wanted = leaving ? MemberState::Leaving : MemberState::Dead;
     const Time start = harness.now();
     if (leaving)
-        harness.leave(gone);
+        harness.leave(departed);
     else
-        harness.kill(gone);
-    for (std::size_t knowing = 0; knowing + 1 < nodes;) {
+        harness.kill(departed);
+    for (std::size_t detectedBy = 0; detectedBy + 1 < nodes;) {
         harness.runFor(std::chrono::milliseconds(100));
-        knowing = 0;
+        detectedBy = 0;
         for (std::size_t i = 0; i < nodes; ++i)
-            knowing += i != gone && harness.node(i).memberStates[name] == wanted ? 1 : 0;
+            detectedBy += i != departed && harness.node(i).memberStates[name] == wanted ? 1 : 0;
         const double elapsed = seconds(harness.now() - start);
-        if (knowing > 0 && figures.firstSeconds == 0)
+        if (detectedBy > 0 && figures.firstSeconds == 0)
             figures.firstSeconds = elapsed;
         figures.allSeconds = elapsed;
         if (elapsed > 120)
--- a/src/bench/controlscenarios.h
+++ b/src/bench/controlscenarios.h
@@ -1,5 +1,6 @@
 /// \file
-/// Measurements of the control plane in virtual time.
+/// Simulated scenarios of the control plane in virtual time: propagation of a
+/// configuration change, cost per node and failure detection.
 
 #pragma once
 
@@ -7,48 +8,48 @@
 
 namespace balsamloft::bench {
 
-/// How a change spreads.
-struct SpreadScenario
+/// Propagation of a configuration change to all nodes.
+struct PropagationScenario
 {
     std::size_t nodes = 8;
     bool gossip = true;
     bool polling = true;
     double loss = 0.1;
-    double cutOff = 0; ///< share of the nodes that do not reach the platform
+    double partitionedShare = 0; ///< fraction of the nodes that cannot reach the platform
     std::size_t seeds = 10;
 };
 
-struct SpreadFigures
+struct PropagationFigures
 {
-    double medianSeconds = 0; ///< until in force on all nodes
+    double medianSeconds = 0; ///< until the change is active on all nodes
     double worstSeconds = 0;
-    std::size_t missed = 0; ///< runs in which it took more than a minute
+    std::size_t timeouts = 0; ///< runs in which a change took more than a minute
 };
 
-SpreadFigures runSpread(const SpreadScenario &scenario);
+PropagationFigures runPropagation(const PropagationScenario &scenario);
 
-/// What the control plane costs a node while 2,500 changes a day are made.
+/// Cost of the control plane at a rate of 2,500 configuration changes per day.
 struct CostFigures
 {
-    double bytesPerSecond = 0; ///< sent by a node in the peer protocol, payload
+    double bytesPerSecond = 0; ///< payload that each node sends in the peer protocol
     double messagesPerSecond = 0;
-    double readsPerSecond = 0; ///< of the whole fleet, on the platform
-    double cpuMicrosPerSecond = 0; ///< of a node; depends on the machine
+    double readsPerSecond = 0; ///< reads of the platform by all nodes together
+    double cpuMicrosPerSecond = 0; ///< CPU time per node; depends on the machine
 };
 
 CostFigures runCost(std::size_t nodes, std::size_t endpoints, std::size_t teams);
 
-/// How a member that goes is noticed.
+/// Detection of a member that crashed or is leaving.
 struct DetectionFigures
 {
-    double firstSeconds = 0; ///< until the first other holds it for dead (or leaving)
-    double allSeconds = 0; ///< until all do
-    std::size_t falseDeaths = 0; ///< living members held for dead by anyone
+    double firstSeconds = 0; ///< until the first other member marks it dead (or leaving)
+    double allSeconds = 0; ///< until all other members have marked it
+    std::size_t falseDeaths = 0; ///< reports by any member that a live member is dead
 };
 
 DetectionFigures runDetection(std::size_t nodes, bool leaving, double loss);
 
-/// Returns entries of a fleet of the given size.
+/// Returns the configuration entries of a fleet of the given size.
 ConfigEntries fleetEntries(std::size_t endpoints, std::size_t teams, std::size_t models);
 
 } // namespace balsamloft::bench
--- a/src/bench/decision.h
+++ b/src/bench/decision.h
@@ -7,14 +7,14 @@
 
 namespace balsamloft::bench {
 
-/// A chooser before \a endpoints candidates of one model, in three stages if
-/// \a staged, with a load on each.
+/// Chooses chains among \a endpoints candidates of one model, each with a
+/// reported load. If \a staged, each endpoint holds one of three layer ranges.
 class DecisionBench
 {
 public:
     explicit DecisionBench(std::size_t endpoints, bool staged);
 
-    /// Makes one decision; returns whether there was a chain.
+    /// Makes one routing decision; returns whether a chain was found.
     bool decide();
 
 private:
@@ -27,8 +27,8 @@
     std::uint64_t m_count = 0;
 };
 
-/// Allocations on the heap since the start of the program. Counted only in
-/// programs that link decision_allocations.cpp.
+/// Returns the number of heap allocations since the start of the program.
+/// Defined in decision_allocations.cpp, which replaces operator new.
 std::uint64_t allocations();
 
 } // namespace balsamloft::bench
--- a/src/bench/decision_allocations.cpp
+++ b/src/bench/decision_allocations.cpp
@@ -1,4 +1,4 @@
-// Counts allocations by replacing the global operators.
+// Counts heap allocations by replacing the global operator new.
 
 #include "decision.h"
 
--- a/src/bench/decision_test.cpp
+++ b/src/bench/decision_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace balsamloft::bench;
 
-TEST_CASE("a routing decision allocates nothing in the steady state", "[policy]")
+TEST_CASE("a routing decision in the steady state makes no heap allocation", "[policy]")
 {
     for (const bool staged : {false, true}) {
         DecisionBench bench(790, staged);
--- a/src/bench/layer_experiment.cpp
+++ b/src/bench/layer_experiment.cpp
@@ -1,5 +1,5 @@
-// Compares placements, path choices and loads on emulated engines, in virtual
-// time. Prints a table; with --csv, lines for a plot.
+// Runs the layer emulator while varying one parameter (--vary). Prints a table,
+// or comma-separated values with --csv.
 
 #include "../fakes/layeremulator.h"
 
@@ -7,11 +7,13 @@
 
 #include <cstdio>
 
-DEFINE_string(fleet, "today", "what is emulated: today, grown, large, design");
-DEFINE_bool(csv, false, "lines of comma-separated values");
-DEFINE_int32(seconds, 15, "of traffic in each run");
-DEFINE_int32(seed, 1, "of all random choices");
-DEFINE_string(vary, "load", "what is varied: load, cover_room, instances, failures, reports");
+DEFINE_string(fleet, "today", "emulated fleet: today (the reference fleet), grown, large, design");
+DEFINE_bool(csv, false, "print comma-separated values");
+DEFINE_int32(seconds, 15, "seconds of traffic in each run of the fleet today");
+DEFINE_int32(seed, 1, "seed of the random numbers");
+DEFINE_string(vary, "load",
+              "varied parameter: load, cover_room (memory kept free per replica), instances, "
+              "failures, reports");
 
 namespace balsamloft::fakes {
 
@@ -28,7 +30,7 @@
     EmulationSettings base = FLAGS_fleet == "design"  ? designFleet()
                              : FLAGS_fleet == "grown" ? grownFleet()
                              : FLAGS_fleet == "large" ? largeFleet()
-                                                      : todaysFleet();
+                                                      : referenceFleet();
     base.seed = static_cast<std::uint64_t>(FLAGS_seed);
     if (FLAGS_fleet == "today")
         base.length = std::chrono::seconds(FLAGS_seconds);
@@ -54,7 +56,7 @@
     if (FLAGS_vary == "failures")
         for (const int every : {0, 8, 4, 2})
             add("death each " + std::to_string(every) + " s",
-                [&](auto &each) { each.failureEvery = std::chrono::seconds(every); });
+                [&](auto &each) { each.failureInterval = std::chrono::seconds(every); });
     if (FLAGS_vary == "reports")
         for (const int millis : {250, 1000, 4000})
             add("states each " + std::to_string(millis) + " ms", [&](auto &each) {
@@ -71,10 +73,11 @@
                              ? "%s,%lu,%.4f,%lu,%lu,%lu,%lu,%lu,%lu,%.0f,%.4f,%.1f,%.1f,%.1f,%.0f\n"
                              : "%-20s %7lu %7.3f %6lu %7lu %5lu %6lu %8lu %9lu %9.0f %8.3f %8.1f "
                                "%8.1f %7.1f %8.0f\n";
-    std::printf(format, variant.name.c_str(), result.asked, result.onTimeShare(), result.late,
-                result.refused, result.cut, result.resent, result.rejected, result.preempted,
+    std::printf(format, variant.name.c_str(), result.requests, result.onTimeShare(), result.late,
+                result.refused, result.truncated, result.resent, result.rejected, result.preempted,
                 result.tokens / seconds, result.tokens / seconds / tokenBound(variant.settings),
-                result.firstMedianMs, result.firstHighMs, result.gapMeanMs, result.recoveryMs);
+                result.medianFirstEventMs, result.p99FirstEventMs, result.medianGapMs,
+                result.medianRecoveryMs);
     std::fflush(stdout);
 }
 
--- a/src/bench/layeremulator_test.cpp
+++ b/src/bench/layeremulator_test.cpp
@@ -5,89 +5,90 @@
 using namespace balsamloft;
 using namespace balsamloft::fakes;
 
-// Virtual time, fixed seeds: the counts repeat exactly.
-TEST_CASE("today's load is served in time on today's fleet")
+// Virtual time and fixed seeds make the counts deterministic.
+TEST_CASE("the reference fleet answers more than 97 % of its load on time")
 {
-    EmulationSettings settings = todaysFleet();
+    EmulationSettings settings = referenceFleet();
     settings.length = std::chrono::seconds(10);
     const EmulationResult result = emulate(settings);
-    CHECK(result.asked > 700);
+    CHECK(result.requests > 700);
     CHECK(result.onTimeShare() > 0.97);
-    CHECK(result.refused + result.cut == 0);
+    CHECK(result.refused + result.truncated == 0);
     CHECK(result.resent < 20);
 }
 
-// Three times the load: what can be served is, the rest is refused or late; the
-// fleet does not collapse under its own repeats.
-TEST_CASE("three times the load does not bring the fleet down")
+// Guards against congestion collapse by retries: under overload the throughput must
+// not drop; excess requests are refused or late.
+TEST_CASE("three times the load does not reduce the throughput")
 {
-    EmulationSettings settings = todaysFleet();
+    EmulationSettings settings = referenceFleet();
     settings.length = std::chrono::seconds(8);
     const EmulationResult once = emulate(settings);
     settings.requestsPerSecond *= 3;
     const EmulationResult thrice = emulate(settings);
     CHECK(thrice.tokens >= once.tokens);
-    CHECK(thrice.resent < thrice.asked / 2);
+    CHECK(thrice.resent < thrice.requests / 2);
 }
 
-// An engine dies each four seconds. Streams through it go on elsewhere.
-TEST_CASE("most streams outlive the death of engines")
+// An engine crashes every four seconds. Its streams resume on other engines.
+TEST_CASE("fewer than 5 % of the streams are truncated when engines crash")
 {
-    EmulationSettings settings = todaysFleet();
+    EmulationSettings settings = referenceFleet();
     settings.length = std::chrono::seconds(12);
-    settings.failureEvery = std::chrono::seconds(4);
+    settings.failureInterval = std::chrono::seconds(4);
     const EmulationResult result = emulate(settings);
-    CHECK(result.cut < result.asked / 20);
-    CHECK(result.recoveryMs < 1500);
+    CHECK(result.truncated < result.requests / 20);
+    CHECK(result.medianRecoveryMs < 1500);
 }
 
-// A busy second of the large fleet: 59 instances a domain see the same states of the
-// engines, up to a second old. Were their choices as alike, callers of that second
-// would all be sent to the path that looked best: engines refused 494 requests and
-// 166 callers were, 0.85 of 4,451 were on time. Spread choices alone made that 36, 5
-// and 0.98; times that count by their root 0, 0 and 0.97.
-TEST_CASE("sixty blind instances do not run over the engine that looks best")
+// Guards against herding: 59 instances per domain see the same engine states, up to a
+// second old, and would all send their requests of that second to the path that looks
+// best. With identical choices engines rejected 494 of 4,451 requests, 166 callers were
+// refused and 0.85 of the requests were on time. With randomized choices these were 36,
+// 5 and 0.98; with costs that also grow only with the square root of the time, 0, 0
+// and 0.97.
+TEST_CASE("instances with equally old engine states do not overload the best engine")
 {
     EmulationSettings settings = largeFleet();
     settings.requestsPerSecond *= 1.5;
     const EmulationResult result = emulate(settings);
     CHECK(result.onTimeShare() > 0.95);
-    CHECK(result.rejected < result.asked / 30);
-    CHECK(result.refused + result.cut < result.asked / 100);
+    CHECK(result.rejected < result.requests / 30);
+    CHECK(result.refused + result.truncated < result.requests / 100);
 }
 
 namespace {
 
-/// Share on time of what is asked once engines that died have been back for some seconds,
-/// over the same without a death.
-double servedAgain(EmulationSettings settings)
+/// Returns the on-time share of requests submitted some seconds after crashed engines
+/// have restarted, relative to the same share without crashes.
+double recoveredShare(EmulationSettings settings)
 {
-    constexpr std::size_t BackAfter = 15; ///< seconds of traffic
-    settings.length = std::chrono::seconds(BackAfter + 7);
-    settings.failureFor = std::chrono::milliseconds(3500);
-    const double undisturbed = emulate(settings).onTimeShareFrom(BackAfter);
+    constexpr std::size_t RecoverySeconds = 15; ///< seconds of traffic
+    settings.length = std::chrono::seconds(RecoverySeconds + 7);
+    settings.failureDuration = std::chrono::milliseconds(3500);
+    const double undisturbed = emulate(settings).onTimeShareFrom(RecoverySeconds);
     for (const int millis : {5000, 5600, 6400})
-        settings.firstEngineDies.push_back(std::chrono::milliseconds(millis));
-    return emulate(settings).onTimeShareFrom(BackAfter) / undisturbed;
+        settings.firstEngineFailures.push_back(std::chrono::milliseconds(millis));
+    return emulate(settings).onTimeShareFrom(RecoverySeconds) / undisturbed;
 }
 
-constexpr double AsBefore = 0.97;
+constexpr double MinRecoveredShare = 0.97;
 
 } // namespace
 
-// Guards against a fleet that stays slow once the engines on which paths begin are back.
-TEST_CASE("callers are served as before once engines on which paths begin are back")
+// Guards against a fleet that stays slow after the first engines of paths have restarted.
+TEST_CASE("the on-time share recovers after the first engines of paths restart")
 {
-    EmulationSettings settings = todaysFleet();
+    EmulationSettings settings = referenceFleet();
     settings.requestsPerSecond *= GENERATE(0.5, 1);
     settings.seed = GENERATE(range(1, 5));
-    CHECK(servedAgain(settings) >= AsBefore);
+    CHECK(recoveredShare(settings) >= MinRecoveredShare);
 }
 
-// Guards against the same before eighty and three hundred instances.
-TEST_CASE("large fleets serve callers as before once engines on which paths begin are back")
+// Guards against the same failure with 80 and 295 instances.
+TEST_CASE("the on-time share of large fleets recovers after the first engines of paths restart")
 {
     EmulationSettings settings = GENERATE(grownFleet(), largeFleet());
     settings.requestsPerSecond *= 1.3;
-    CHECK(servedAgain(settings) >= AsBefore);
+    CHECK(recoveredShare(settings) >= MinRecoveredShare);
 }
--- a/src/bench/policy_bench.cpp
+++ b/src/bench/policy_bench.cpp
@@ -1,5 +1,5 @@
-// Policy under load and faults, in virtual time: the counters repeat exactly,
-// the times are only how long the run took.
+// Routing policies under load and faults in virtual time. The counters are
+// deterministic; the reported times are only the run time of the simulation.
 
 #include "scenarios.h"
 
@@ -34,7 +34,7 @@
         figures = runLoad(scenario);
     state.SetLabel(PolicyNames[state.range(0)]);
     state.counters["useful"] = figures.usefulFraction;
-    state.counters["of_offered"] = figures.ofOffered;
+    state.counters["of_offered"] = figures.answeredFraction;
     state.counters["median_s"] = figures.medianSeconds;
     state.counters["p95_s"] = figures.p95Seconds;
     state.counters["bounces"] = figures.unexecutedPerRequest;
@@ -83,9 +83,9 @@
     state.counters["median_ms"] = figures.medianMillis;
     state.counters["worst_ms"] = figures.worstMillis;
     state.counters["prefill_ms"] = figures.prefillMillis;
-    state.counters["whole"] = figures.whole;
+    state.counters["whole"] = figures.completeFraction;
     state.counters["amplification"] = figures.amplification;
-    state.counters["hit"] = static_cast<double>(figures.hit);
+    state.counters["hit"] = static_cast<double>(figures.affectedRequests);
 }
 
 } // namespace
--- a/src/bench/scenarios.cpp
+++ b/src/bench/scenarios.cpp
@@ -15,7 +15,7 @@
 constexpr Duration SlowestStep {36'000};
 constexpr Duration WarmUp {2'000'000};
 
-/// Whole-model engines whose steps take 36 ms divided by 1 to 5.
+/// Returns engines that hold all layers and whose step time is 36 ms divided by 1 to 5.
 std::vector<EngineSettings> fiveSpeeds(std::size_t count, std::uint32_t slots)
 {
     std::vector<EngineSettings> engines(count);
@@ -29,7 +29,7 @@
     return engines;
 }
 
-/// Tokens per second that the engines can do.
+/// Returns the tokens per second that the engines can generate.
 double capacity(std::span<const EngineSettings> engines)
 {
     return std::accumulate(
@@ -49,7 +49,7 @@
     return values[index];
 }
 
-/// Submits requests at random times, as many callers do.
+/// Submits requests with exponentially distributed gaps (a Poisson process).
 class Arrivals
 {
 public:
@@ -96,14 +96,14 @@
     return request;
 }
 
-/// A length between half of \a mean and half more. Requests of one length
-/// would stay in step for ever, and end in waves that no real load has.
-std::uint32_t around(std::uint32_t mean, std::mt19937_64 &random)
+/// Returns a length between 0.5 and 1.5 times \a mean. Requests of equal length
+/// would stay synchronized and finish in bursts, unlike real load.
+std::uint32_t randomLength(std::uint32_t mean, std::mt19937_64 &random)
 {
     return std::uniform_int_distribution<std::uint32_t>(mean / 2, mean + mean / 2)(random);
 }
 
-/// Tokens in [from, to) of requests that were answered whole.
+/// Returns the tokens generated in [from, to) for requests that were answered completely.
 double usefulTokens(const RouterHarness &harness, Time from, Time to, Priority priority)
 {
     double sum = 0;
@@ -132,7 +132,8 @@
     const double perSecond = scenario.load * capacity(engines) / scenario.tokens;
     std::uint64_t number = 0;
     const Arrivals arrivals(harness, perSecond, end, scenario.seed, [&](std::mt19937_64 &random) {
-        Request request = baseRequest(harness, around(scenario.tokens, random), scenario.deadline);
+        Request request =
+            baseRequest(harness, randomLength(scenario.tokens, random), scenario.deadline);
         request.prompt = "p" + std::to_string(number++);
         return request;
     });
@@ -156,7 +157,7 @@
         figures.refusedOutcomeUnknown += counters.refusedOutcomeUnknown;
     }
     const auto offered = static_cast<double>(harness.records().size());
-    figures.ofOffered = static_cast<double>(times.size()) / offered;
+    figures.answeredFraction = static_cast<double>(times.size()) / offered;
     figures.unexecutedPerRequest = static_cast<double>(unexecutedAttempts) / offered;
     figures.medianSeconds = percentile(times, 0.5);
     figures.p95Seconds = percentile(times, 0.95);
@@ -209,7 +210,8 @@
     std::uint64_t number = 0;
     const Arrivals batch(
         harness, load * capacity(engines) / 64, end, seed + 1, [&](std::mt19937_64 &random) {
-            Request request = baseRequest(harness, around(64, random), std::chrono::seconds(20));
+            Request request =
+                baseRequest(harness, randomLength(64, random), std::chrono::seconds(20));
             request.priority = Priority::Batch;
             request.prompt = "b" + std::to_string(number++);
             return request;
@@ -244,9 +246,9 @@
     RouterHarness harness(settings, harnessConfig("model", 1, engines, list), engines);
     const Time start = harness.now();
     const Time end = start + std::chrono::seconds(20);
-    // Team 0 asks for twice what all the engines can do; the others together
-    // for 70 in 100 of it, each below its share.
-    const double whole = capacity(engines) / 16;
+    // Team 0 offers twice the capacity of all engines; the others together offer
+    // 70 % of the capacity, each less than its share.
+    const double requestCapacity = capacity(engines) / 16;
     std::uint64_t number = 0;
     const auto make = [&](std::string team) {
         Request request = baseRequest(harness, 16, std::chrono::seconds(5));
@@ -254,12 +256,12 @@
         request.prompt = "p" + std::to_string(number++);
         return request;
     };
-    const Arrivals greedy(harness, 2 * whole, end, seed,
+    const Arrivals greedy(harness, 2 * requestCapacity, end, seed,
                           [&](std::mt19937_64 &) { return make("t0"); });
     std::uniform_int_distribution<std::size_t> pick(1, teams - 1);
-    const Arrivals modest(harness, 0.7 * whole, end, seed + 1, [&](std::mt19937_64 &random) {
-        return make("t" + std::to_string(pick(random)));
-    });
+    const Arrivals modest(
+        harness, 0.7 * requestCapacity, end, seed + 1,
+        [&](std::mt19937_64 &random) { return make("t" + std::to_string(pick(random))); });
     harness.run(end + std::chrono::seconds(5));
 
     std::map<std::string, std::pair<double, double>> byTeam; // offered, answered
@@ -310,7 +312,7 @@
     for (std::size_t i = 0; i < Prefixes; ++i)
         weights[i] = 1 / std::pow(static_cast<double>(i + 1), 0.9);
     std::discrete_distribution<std::size_t> pick(weights.begin(), weights.end());
-    // The oracle keeps the same number of prefixes in one cache that all share.
+    // The oracle is a single LRU cache as large as all engines' caches together.
     std::list<std::size_t> oracle;
     double oracleHits = 0;
     double count = 0;
@@ -341,8 +343,7 @@
 
 RecoveryFigures runRecovery(Fault fault, std::uint64_t seed)
 {
-    // Four chains of three stages; a third is lost by killing one stage range's
-    // worth of engines, 4 of 12.
+    // Four chains of three stages. Fault::LostThird kills 4 of the 12 engines.
     std::vector<EngineSettings> engines(12);
     for (std::size_t i = 0; i < engines.size(); ++i) {
         const auto first = static_cast<std::uint32_t>(i % 3 * 4);
@@ -385,16 +386,16 @@
 
     RecoveryFigures figures;
     std::vector<double> gaps;
-    double whole = 0;
+    double answered = 0;
     for (const auto &[id, record] : harness.records()) {
-        whole += record.answer ? 1 : 0;
+        answered += record.answer ? 1 : 0;
         if (record.submittedAt >= faultAt || record.finishedAt < faultAt)
             continue;
         const auto next = std::find_if(record.tokens.begin(), record.tokens.end(),
                                        [&](const auto &token) { return token.first >= faultAt; });
         if (next == record.tokens.end())
             continue;
-        // For a silence the gap that counts may come a few tokens later.
+        // With an unresponsive connection the longest gap may start some tokens after the fault.
         double longest = 0;
         Time previous = faultAt;
         for (auto it = next; it != record.tokens.end(); ++it) {
@@ -409,9 +410,9 @@
     for (std::size_t i = 0; i < settings.routers; ++i)
         retries += static_cast<double>(harness.router(i).counters().retries);
     const auto count = static_cast<double>(harness.records().size());
-    figures.whole = whole / count;
+    figures.completeFraction = answered / count;
     figures.amplification = 1 + retries / count;
-    figures.hit = gaps.size();
+    figures.affectedRequests = gaps.size();
     figures.medianMillis = percentile(gaps, 0.5);
     figures.worstMillis = percentile(gaps, 1);
     figures.prefillMillis = 3 * 10.4 + 0.1 * 60;
--- a/src/bench/scenarios.h
+++ b/src/bench/scenarios.h
@@ -1,6 +1,6 @@
 /// \file
-/// Scenarios that measure the traffic policy in virtual time. The same input
-/// gives the same figures, so that tests can bound them.
+/// Simulated load and fault scenarios for the routing policies, in virtual time.
+/// The results are deterministic, so that tests can check bounds on them.
 
 #pragma once
 
@@ -8,14 +8,14 @@
 
 namespace balsamloft::bench {
 
-/// Load on a fleet of whole-model engines of five speeds.
+/// Load on a fleet of engines of five speeds, each of which holds all layers.
 struct LoadScenario
 {
     RoutingPolicy policy = RoutingPolicy::Default;
     std::size_t routers = 8;
     std::size_t engines = 33;
     std::uint32_t slots = 8;
-    double load = 1; ///< offered, as a multiple of what the engines can do
+    double load = 1; ///< offered load as a multiple of the engines' capacity
     Duration reportLag {1'000'000};
     Duration length {10'000'000};
     Duration deadline {10'000'000};
@@ -23,12 +23,13 @@
     std::uint64_t seed = 1;
 };
 
-/// What a LoadScenario gave.
+/// Results of a LoadScenario.
 struct LoadFigures
 {
-    double usefulFraction = 0; ///< tokens of whole answers, of what the engines could do
-    double ofOffered = 0; ///< requests answered whole, of those offered
-    double medianSeconds = 0; ///< time in the system of those answered
+    double usefulFraction =
+        0; ///< tokens of complete answers, as a fraction of the engines' capacity
+    double answeredFraction = 0; ///< fraction of the offered requests that were answered completely
+    double medianSeconds = 0; ///< from submission to completion, of answered requests
     double p95Seconds = 0;
     double unexecutedPerRequest = 0;
     std::uint64_t refusedNotExecuted = 0;
@@ -37,47 +38,49 @@
 
 LoadFigures runLoad(const LoadScenario &scenario);
 
-/// How alerts fare while batch work saturates the engines.
+/// Latency of alerts while batch work saturates the engines.
 struct AlertFigures
 {
-    double idleSteps = 0; ///< first token of an alert on an idle system, in engine steps
-    double p99Steps = 0; ///< the same under saturation, 99 in 100
-    double batchFraction = 0; ///< useful batch tokens, of what the engines could do
+    double idleSteps =
+        0; ///< median time to first token of alerts on an idle system, in engine steps
+    double p99Steps = 0; ///< 99th percentile of the same under saturation
+    double batchFraction = 0; ///< tokens of complete batch answers, as a fraction of the capacity
 };
 
 AlertFigures runAlerts(std::uint32_t alertEndpoints, double load, std::uint64_t seed);
 
-/// One greedy team among others that stay within their share.
+/// One team that exceeds its share (greedy) among teams within theirs (modest).
 struct FairnessFigures
 {
-    double modestLoss = 0; ///< mean share of requests that modest teams lost
-    double worstModestLoss = 0; ///< of the team that lost most
-    double greedyFraction = 0; ///< of the answered tokens that the greedy team got
+    double modestLoss = 0; ///< fraction of the modest teams' requests that were not answered
+    double worstModestLoss = 0; ///< the same for the modest team with the largest loss
+    double greedyFraction = 0; ///< fraction of the answered requests that belong to the greedy team
     double usefulFraction = 0;
 };
 
 FairnessFigures runFairness(std::size_t teams, std::uint64_t seed);
 
-/// Prefix cache hits.
+/// Hit rates of the engines' prefix caches.
 struct PrefixFigures
 {
     double hitRate = 0;
-    double oracleHitRate = 0; ///< of one that sees all caches and has no queue to mind
+    double oracleHitRate = 0; ///< of one shared cache as large as all engines' caches together
 };
 
 PrefixFigures runPrefixes(RoutingPolicy policy, std::uint64_t seed);
 
 enum class Fault : std::uint8_t { KilledStage, FrozenStage, SilentConnection, LostThird };
 
-/// How long callers wait after a fault.
+/// Effect of a fault on the callers.
 struct RecoveryFigures
 {
-    double medianMillis = 0; ///< from the fault to the next token of those it hit
+    double medianMillis = 0; ///< longest pause between tokens after the fault, of affected requests
     double worstMillis = 0;
-    double prefillMillis = 0; ///< of the new attempt, included in the above
-    double whole = 0; ///< of the requests, answered whole
-    double amplification = 0; ///< attempts that may have run, by request
-    std::size_t hit = 0; ///< requests that had to resume
+    double prefillMillis = 0; ///< prefill time of the new attempt, included in the above
+    double completeFraction = 0; ///< fraction of the requests that were answered completely
+    double amplification = 0; ///< attempts per request that may have been executed
+    std::size_t affectedRequests =
+        0; ///< requests that were in progress at the fault and needed another attempt
 };
 
 RecoveryFigures runRecovery(Fault fault, std::uint64_t seed);
--- a/src/fakes/enginemodel.cpp
+++ b/src/fakes/enginemodel.cpp
@@ -19,7 +19,7 @@
     return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-/// Hash of a text that can be continued token by token.
+/// Extends the hash of a sequence by \a text; hashing token by token gives the same result.
 std::uint64_t extendContext(std::uint64_t context, std::string_view text)
 {
     for (const char c : text)
@@ -66,13 +66,13 @@
 {
 }
 
-void EngineModel::refuse(std::uint64_t ticket, FailureKind kind, const EngineStep &step, Time now)
+void EngineModel::reject(std::uint64_t ticket, FailureKind kind, const EngineStep &step, Time now)
 {
     EngineOutcome outcome;
     outcome.ticket = ticket;
     outcome.failure = kind;
     outcome.answer.ref = step.ref;
-    m_refusals.emplace(now, std::move(outcome));
+    m_rejections.emplace(now, std::move(outcome));
 }
 
 std::uint64_t EngineModel::submit(EngineStep step, Time now)
@@ -81,22 +81,22 @@
     dropIdle(now);
     if (step.prefill) {
         if (m_leaving && step.firstStage)
-            refuse(ticket, FailureKind::Leaving, step, now);
+            reject(ticket, FailureKind::Leaving, step, now);
         else if (m_sequences.size() < m_settings.slots)
             startPrefill(ticket, std::move(step), now);
-        else if (m_waiting.size() < m_settings.queueLimit || step.priority == Priority::Alert)
-            m_waiting.emplace(std::pair(step.priority, ticket), Waiting {ticket, step});
+        else if (m_queue.size() < m_settings.queueLimit || step.priority == Priority::Alert)
+            m_queue.emplace(std::pair(step.priority, ticket), QueuedStep {ticket, step});
         else
-            refuse(ticket, FailureKind::Busy, step, now);
+            reject(ticket, FailureKind::Busy, step, now);
         return ticket;
     }
     const auto it = m_sequences.find({step.tag, step.ref.attempt});
     if (it == m_sequences.end() || it->second.nextPosition != step.ref.position) {
-        refuse(ticket, FailureKind::StateLost, step, now);
+        reject(ticket, FailureKind::StateLost, step, now);
         return ticket;
     }
     it->second.usedAt = now;
-    m_due.emplace(now + m_settings.stepTime, Due {ticket, std::move(step), false});
+    m_running.emplace(now + m_settings.stepTime, RunningStep {ticket, std::move(step), false});
     return ticket;
 }
 
@@ -128,28 +128,29 @@
             prefill = m_settings.prefillPerToken
                       * static_cast<std::int64_t>(step.input.size() / BytesPerToken + 1);
     }
-    m_due.emplace(now + m_settings.stepTime + prefill, Due {ticket, std::move(step), hit});
+    m_running.emplace(now + m_settings.stepTime + prefill,
+                      RunningStep {ticket, std::move(step), hit});
 }
 
-void EngineModel::startWaiting(Time now)
+void EngineModel::startQueued(Time now)
 {
-    while (!m_waiting.empty() && m_sequences.size() < m_settings.slots) {
-        Waiting next = std::move(m_waiting.begin()->second);
-        m_waiting.erase(m_waiting.begin());
+    while (!m_queue.empty() && m_sequences.size() < m_settings.slots) {
+        QueuedStep next = std::move(m_queue.begin()->second);
+        m_queue.erase(m_queue.begin());
         startPrefill(next.ticket, std::move(next.step), now);
     }
 }
 
 void EngineModel::cancel(std::string_view tag, std::uint32_t attempt, Time now)
 {
-    std::erase_if(m_waiting, [&](const auto &item) {
+    std::erase_if(m_queue, [&](const auto &item) {
         return item.second.step.tag == tag && item.second.step.ref.attempt == attempt;
     });
-    std::erase_if(m_due, [&](const auto &item) {
+    std::erase_if(m_running, [&](const auto &item) {
         return item.second.step.tag == tag && item.second.step.ref.attempt == attempt;
     });
     m_sequences.erase({std::string(tag), attempt});
-    startWaiting(now);
+    startQueued(now);
 }
 
 void EngineModel::dropIdle(Time now)
@@ -162,9 +163,9 @@
     });
 }
 
-EngineOutcome EngineModel::execute(Due due, Time now)
+EngineOutcome EngineModel::execute(RunningStep running, Time now)
 {
-    const EngineStep &step = due.step;
+    const EngineStep &step = running.step;
     Sequence &sequence = m_sequences[{step.tag, step.ref.attempt}];
     std::uint64_t activation = 0;
     if (step.firstStage) {
@@ -178,32 +179,32 @@
     sequence.nextPosition = step.ref.position + 1;
     sequence.usedAt = now;
     EngineOutcome outcome;
-    outcome.ticket = due.ticket;
+    outcome.ticket = running.ticket;
     outcome.answer.ref = step.ref;
     outcome.answer.ref.layers = m_settings.layers;
     outcome.answer.output = step.lastStage ? tokenText(activation) : activationText(activation);
-    outcome.answer.prefixHit = due.prefixHit;
+    outcome.answer.prefixHit = running.prefixHit;
     if (m_settings.keepLog)
         m_log.push_back({step.ref.request, step.tag, step.ref.attempt, step.ref.position,
                          m_settings.layers, now, outcome.answer.output});
     if (step.lastToken) {
         m_sequences.erase({step.tag, step.ref.attempt});
-        startWaiting(now);
+        startQueued(now);
     }
     return outcome;
 }
 
 void EngineModel::advance(Time now, std::vector<EngineOutcome> &outcomes)
 {
-    while (!m_refusals.empty() && m_refusals.begin()->first <= now) {
-        outcomes.push_back(std::move(m_refusals.begin()->second));
-        m_refusals.erase(m_refusals.begin());
+    while (!m_rejections.empty() && m_rejections.begin()->first <= now) {
+        outcomes.push_back(std::move(m_rejections.begin()->second));
+        m_rejections.erase(m_rejections.begin());
     }
-    while (!m_due.empty() && m_due.begin()->first <= now) {
-        const Time at = m_due.begin()->first;
-        Due due = std::move(m_due.begin()->second);
-        m_due.erase(m_due.begin());
-        outcomes.push_back(execute(std::move(due), at));
+    while (!m_running.empty() && m_running.begin()->first <= now) {
+        const Time at = m_running.begin()->first;
+        RunningStep running = std::move(m_running.begin()->second);
+        m_running.erase(m_running.begin());
+        outcomes.push_back(execute(std::move(running), at));
     }
     for (EngineOutcome &outcome : outcomes)
         outcome.answer.load = load();
@@ -212,17 +213,17 @@
 std::optional<Time> EngineModel::nextEvent() const
 {
     std::optional<Time> next;
-    if (!m_due.empty())
-        next = m_due.begin()->first;
-    if (!m_refusals.empty() && (!next || m_refusals.begin()->first < *next))
-        next = m_refusals.begin()->first;
+    if (!m_running.empty())
+        next = m_running.begin()->first;
+    if (!m_rejections.empty() && (!next || m_rejections.begin()->first < *next))
+        next = m_rejections.begin()->first;
     return next;
 }
 
 LoadReport EngineModel::load() const
 {
     return {static_cast<std::uint32_t>(m_sequences.size()),
-            static_cast<std::uint32_t>(m_waiting.size()), m_settings.stepTime, m_leaving};
+            static_cast<std::uint32_t>(m_queue.size()), m_settings.stepTime, m_leaving};
 }
 
 std::string expectedCompletion(std::string_view model, std::uint32_t layers,
--- a/src/fakes/enginemodel.h
+++ b/src/fakes/enginemodel.h
@@ -1,7 +1,7 @@
 /// \file
-/// A stand-in model engine as a state machine: real batching limits and a
-/// deterministic "model" whose tokens depend on every layer run in order.
-/// Driven by virtual time in tests and benches, by a clock in fake_engine.
+/// State machine of a stand-in model engine with batch limits. Its deterministic
+/// "model" gives the expected tokens only if all layers are run in order.
+/// Tests and benchmarks drive it in virtual time, fake_engine in real time.
 
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace balsamloft::fakes {
 
-/// Shape and speed of one engine.
+/// Layers, limits and speed of one engine.
 struct EngineSettings
 {
     std::string model = "model";
@@ -23,15 +23,15 @@
     Duration stepTime {10'000};
     Duration prefillPerToken {20};
     std::size_t cachedPrefixes = 64;
-    Duration idleLifetime {10'000'000}; ///< a sequence nobody steps is dropped
+    Duration idleLifetime {10'000'000}; ///< a sequence without steps for this long is dropped
     bool keepLog = true;
 };
 
-/// One step as it was executed.
+/// An executed step.
 struct ExecutionRecord
 {
     RequestId request = 0;
-    std::string requestTag; ///< the wire's request id, in the process
+    std::string requestTag; ///< request id on the wire
     std::uint32_t attempt = 0;
     std::uint32_t position = 0;
     LayerRange layers;
@@ -39,7 +39,7 @@
     std::string output;
 };
 
-/// One step as it is asked for.
+/// A requested step.
 struct EngineStep
 {
     StepRef ref;
@@ -93,30 +93,30 @@
         Time usedAt {};
     };
     using SequenceKey = std::pair<std::string, std::uint32_t>;
-    struct Waiting
+    struct QueuedStep
     {
         std::uint64_t ticket;
         EngineStep step;
     };
-    struct Due
+    struct RunningStep
     {
         std::uint64_t ticket;
         EngineStep step;
         bool prefixHit;
     };
 
-    void refuse(std::uint64_t ticket, FailureKind kind, const EngineStep &step, Time now);
+    void reject(std::uint64_t ticket, FailureKind kind, const EngineStep &step, Time now);
     void startPrefill(std::uint64_t ticket, EngineStep step, Time now);
-    void startWaiting(Time now);
+    void startQueued(Time now);
     bool touchPrefix(std::string_view prompt);
-    EngineOutcome execute(Due due, Time now);
+    EngineOutcome execute(RunningStep due, Time now);
     void dropIdle(Time now);
 
     EngineSettings m_settings;
     std::map<SequenceKey, Sequence> m_sequences;
-    std::multimap<std::pair<Priority, std::uint64_t>, Waiting> m_waiting;
-    std::multimap<Time, Due> m_due;
-    std::multimap<Time, EngineOutcome> m_refusals;
+    std::multimap<std::pair<Priority, std::uint64_t>, QueuedStep> m_queue;
+    std::multimap<Time, RunningStep> m_running;
+    std::multimap<Time, EngineOutcome> m_rejections;
     std::list<std::uint64_t> m_prefixes; ///< most recently used first
     std::vector<ExecutionRecord> m_log;
     std::uint64_t m_nextTicket = 1;
@@ -126,8 +126,8 @@
     bool m_leaving = false;
 };
 
-/// Returns the text that a model of \a layers layers gives for \a prompt:
-/// what a whole and own answer must equal.
+/// Returns the text that a model of \a layers layers generates for \a prompt.
+/// Tests compare answers with it to detect truncated and mismatched ones.
 std::string expectedCompletion(std::string_view model, std::uint32_t layers,
                                std::string_view prompt, std::uint32_t tokens);
 
--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -1,12 +1,12 @@
-// A stand-in model engine: EngineModel behind HTTP, with faults to switch on.
+// A stand-in model engine: EngineModel behind HTTP, with injectable faults.
 //
 //   POST /v1/step       one step of an attempt
 //   POST /v1/cancel     {"request", "attempt"}
 //   GET  /v1/health
 //   POST /v1/orders     {"fencing", "model", "layers", "version"}
-//   GET  /v1/state      what it holds
-//   GET  /control/log   what was executed
-//   POST /control/faults {"leaving", "mute", "cross", "hold"}
+//   GET  /v1/state      model, layers, whether it is loading, fencing number
+//   GET  /control/log   executed steps, orders and counters
+//   POST /control/faults {"leaving": bool, "mute": N, "cross": N}
 
 #include "enginemodel.h"
 #include "fakeprocess.h"
@@ -26,8 +26,8 @@
 DEFINE_int32(queue, 2, "sequences accepted beyond the batch");
 DEFINE_int32(step_us, 2000, "duration of a step in microseconds");
 DEFINE_int32(prefill_us, 20, "duration of prefill per token in microseconds");
-DEFINE_int32(load_ms, 100, "how long an order to load takes in milliseconds");
-DEFINE_bool(checks_fencing, false, "refuse orders with an old fencing number");
+DEFINE_int32(load_ms, 100, "time that loading layers takes in milliseconds");
+DEFINE_bool(checks_fencing, false, "reject orders with an old fencing number");
 DEFINE_bool(keep_log, true, "keep the log of all executed steps");
 
 namespace json = boost::json;
@@ -124,21 +124,21 @@
         Pending pending = std::move(it->second);
         m_pending.erase(it);
         if (m_mute > 0) {
-            // The connection goes silent for good: the exchange is kept, so
-            // that it is neither answered nor closed.
+            // Simulates an unresponsive connection: keeping the exchange alive leaves
+            // the request unanswered and the connection open.
             --m_mute;
             m_silent.push_back(pending.exchange);
             return;
         }
         if (m_cross > 0 && !outcome.failure) {
             --m_cross;
-            m_crossed.emplace_back(std::move(pending), std::move(outcome));
-            if (m_crossed.size() == 2) {
-                std::swap(m_crossed[0].second, m_crossed[1].second);
-                std::swap(m_crossed[0].first.request, m_crossed[1].first.request);
-                for (auto &[crossedPending, crossedOutcome] : m_crossed)
+            m_mismatched.emplace_back(std::move(pending), std::move(outcome));
+            if (m_mismatched.size() == 2) {
+                std::swap(m_mismatched[0].second, m_mismatched[1].second);
+                std::swap(m_mismatched[0].first.request, m_mismatched[1].first.request);
+                for (auto &[crossedPending, crossedOutcome] : m_mismatched)
                     respond(crossedPending, crossedOutcome);
-                m_crossed.clear();
+                m_mismatched.clear();
             }
             return;
         }
@@ -165,7 +165,7 @@
         const json::value *request = body.if_contains("request");
         const json::value *attempt = body.if_contains("attempt");
         if (!request || !request->is_string() || !attempt || !attempt->is_int64())
-            return respondJson(exchange, 400, {{"error", "request and attempt are needed"}});
+            return respondJson(exchange, 400, {{"error", "request and attempt are required"}});
         m_model.cancel(std::string(request->get_string()),
                        static_cast<std::uint32_t>(attempt->get_int64()), now());
         ++m_cancels;
@@ -188,7 +188,7 @@
         load(body);
     }
 
-    /// Takes up what an order says, after the time that loading takes.
+    /// Switches to the model and layers of \a order after the simulated loading time.
     void load(const json::object &order)
     {
         const json::value *model = order.if_contains("model");
@@ -251,20 +251,20 @@
         respondJson(exchange, 200, {{"ok", true}});
     }
 
-    EngineSettings m_settings; ///< as ordered last
+    EngineSettings m_settings; ///< as of the last accepted order
     EngineModel m_model;
     boost::asio::steady_timer m_timer;
     boost::asio::steady_timer m_loadTimer;
     std::map<std::uint64_t, Pending> m_pending;
     std::vector<HttpExchangePtr> m_silent;
-    std::vector<std::pair<Pending, EngineOutcome>> m_crossed;
+    std::vector<std::pair<Pending, EngineOutcome>> m_mismatched;
     json::array m_orders;
     std::int64_t m_fencing = 0;
     std::uint64_t m_loads = 0;
     bool m_loading = false;
     std::uint64_t m_cancels = 0;
-    int m_mute = 0; ///< answers that are swallowed from now on
-    int m_cross = 0; ///< answers that are swapped in pairs from now on
+    int m_mute = 0; ///< number of next answers that are not sent
+    int m_cross = 0; ///< number of next answers that are swapped in pairs
 };
 
 } // namespace
--- a/src/fakes/fake_platform.cpp
+++ b/src/fakes/fake_platform.cpp
@@ -1,4 +1,4 @@
-// A stand-in platform: transactional tables, objects, a lagging instance list.
+// A stand-in platform: transactional tables, objects and a delayed instance list.
 //
 //   POST /v1/transact  {"checks": [...], "writes": [...]}
 //   POST /v1/read      {"table", "key"}
@@ -7,7 +7,8 @@
 //   GET  /v1/instances
 //   POST /control/instances {"instances": [...]}
 //   POST /control/faults    {"down": bool, "lose_answers": N, "delay_ms": N,
-//                            "hold_answers_ms": N, "old_objects": bool}
+//                            "lose_from": TABLE, "hold_answers_ms": N,
+//                            "old_objects": bool}
 //   GET  /control/stats
 
 #include "fakeprocess.h"
@@ -17,7 +18,7 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(listen, "127.0.0.1:0", "address to listen on");
-DEFINE_int32(list_lag_ms, 0, "how late the instance list shows a change");
+DEFINE_int32(list_lag_ms, 0, "delay until a change appears in the instance list in milliseconds");
 
 namespace json = boost::json;
 
@@ -92,7 +93,7 @@
         }
         if (m_holdAnswers == Duration::zero())
             return answerTransaction(exchange, outcome);
-        // The write has taken effect; only its answer is late.
+        // The transaction is already applied; only its answer is delayed.
         auto timer = std::make_shared<boost::asio::steady_timer>(m_context, m_holdAnswers);
         timer->async_wait([timer, exchange, outcome](boost::system::error_code) {
             answerTransaction(exchange, outcome);
@@ -201,10 +202,11 @@
     boost::asio::io_context &m_context;
     TableModel m_tables;
     std::map<std::string, std::string> m_objects;
-    std::map<std::string, std::string> m_oldObjects; ///< the first content of each
+    std::map<std::string, std::string> m_oldObjects; ///< the first version of each object
     json::array m_instances;
-    std::map<Time, json::array> m_lists; ///< not shown yet
-    std::string m_loseFrom; ///< only answers to writes of this table are lost
+    std::map<Time, json::array>
+        m_lists; ///< pending changes by the time at which they become visible
+    std::string m_loseFrom; ///< if set, only answers to writes to this table are lost
     Duration m_delay {};
     Duration m_holdAnswers {};
     int m_loseAnswers = 0;
--- a/src/fakes/fake_service.cpp
+++ b/src/fakes/fake_service.cpp
@@ -1,8 +1,9 @@
 // A stand-in plain service: logs each call it executes and echoes it.
 //
-//   ANY  /...             executed; answers {"run": N, "path", "body"}
-//   GET  /control/log     the calls executed
-//   POST /control/faults  {"drop_answers": N, "refuse": N}
+//   ANY  /...             executed; answers {"run": N, "method", "path", "key", "body"}
+//   GET  /v1/health
+//   GET  /control/log     the executed calls
+//   POST /control/faults  {"drop_answers": N}: close N connections without an answer
 
 #include "fakeprocess.h"
 
--- a/src/fakes/fakeprocess.h
+++ b/src/fakes/fakeprocess.h
@@ -1,5 +1,6 @@
 /// \file
-/// What the stand-in processes share: a JSON web server that stops on SIGTERM.
+/// Common parts of the stand-in processes: an HTTP server with JSON bodies that
+/// stops on SIGTERM or SIGINT.
 
 #pragma once
 
@@ -12,19 +13,19 @@
 namespace balsamloft::fakes {
 
 /// Runs a stand-in: listens on \a address, prints "listening on IP:port" and
-/// serves until SIGTERM. Returns the process's exit code.
+/// serves until SIGTERM or SIGINT. Returns the exit code of the process.
 int runFake(boost::asio::io_context &context, const std::string &address, HttpHandler handler);
 
 /// Answers \a exchange with a JSON value.
 void respondJson(const HttpExchangePtr &exchange, unsigned status, const boost::json::value &value);
 
-/// Returns the body as an object; an empty one when it is not an object.
+/// Returns the body of the request as a JSON object, or an empty object if it is not one.
 boost::json::object bodyObject(const HttpExchangePtr &exchange);
 
-/// Returns the request's target without the query.
+/// Returns the target of the request without the query.
 std::string_view targetPath(const HttpExchangePtr &exchange);
 
-/// Returns the present monotonic time.
+/// Returns the current monotonic time.
 Time now();
 
 } // namespace balsamloft::fakes
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -8,18 +8,19 @@
 
 namespace {
 
-constexpr Duration Tick {50'000};
-constexpr Duration Hop {300};
-constexpr Duration Stall {2'500'000}; ///< engines cut off what waits for a dead one
+constexpr Duration TickInterval {50'000};
+constexpr Duration HopDelay {300};
+constexpr Duration StallTimeout {
+    2'500'000}; ///< after which an attempt that waits for a crashed engine fails
 constexpr std::uint32_t ChunkTokens = 512;
-constexpr double CutCaller = 2000; ///< callers leave after a pause of so many milliseconds
+constexpr double MaxPauseMs = 2000; ///< a stream with a longer gap counts as truncated
 
 Duration milliseconds(double value)
 {
     return Duration(static_cast<std::int64_t>(value * 1000));
 }
 
-/// One attempt on its way through the engines of its path.
+/// An attempt at a request, executed by the engines of its path.
 struct Run
 {
     std::size_t instance = 0;
@@ -27,45 +28,45 @@
     std::uint32_t attempt = 0;
     std::vector<PathPart> path;
     std::vector<std::size_t> engines;
-    std::uint32_t unread = 0; ///< prompt tokens not yet read
-    std::uint32_t context = 0; ///< tokens read or made
-    std::uint32_t made = 0;
-    std::uint32_t answer = 0; ///< tokens that the answer has
+    std::uint32_t pendingTokens = 0; ///< tokens whose prefill is pending
+    std::uint32_t context = 0; ///< tokens in memory: prefilled or generated
+    std::uint32_t generated = 0; ///< tokens of the answer, including earlier attempts
+    std::uint32_t answer = 0; ///< length of the complete answer in tokens
     std::uint32_t stage = 0;
     bool admitted = false;
-    bool answered = false; ///< its instance has the head of its answer
-    bool over = false;
+    bool answered = false; ///< the instance has received the response head
+    bool finished = false;
     std::optional<Time> stalledSince;
-    std::uint64_t order = 0; ///< of admission: the newest yields first
+    std::uint64_t order = 0; ///< sequence number of admission; the newest is preempted first
 };
 
 struct Engine
 {
     FleetEndpoint endpoint;
     const AcceleratorKind *kind = nullptr;
-    std::vector<std::size_t> waiting; ///< runs that want a pass here
+    std::vector<std::size_t> waiting; ///< runs to include in the next pass
     std::vector<std::size_t> inPass;
-    std::vector<std::size_t> queue; ///< runs that entered here and wait for room
-    double used = 0; ///< tokens times layers
+    std::vector<std::size_t> queue; ///< runs whose path begins here, waiting for memory
+    double used = 0; ///< memory in use, in tokens times layers
     std::uint32_t active = 0;
     bool busy = false;
     Time downUntil {};
-    std::uint64_t epoch = 0; ///< raised by a death
+    std::uint64_t epoch = 0; ///< incremented by a crash; invalidates pending events
 };
 
-/// One request as its caller sees it.
+/// A request from the point of view of its caller.
 struct Caller
 {
     std::uint32_t prompt = 0;
     std::uint32_t answer = 0;
-    Time askedAt {};
+    Time submittedAt {};
     Time lastEventAt {};
-    std::optional<Time> brokenAt;
+    std::optional<Time> interruptedAt;
     std::uint64_t events = 0;
     double firstMs = 0;
     double longestGapMs = 0;
     double gapSumMs = 0;
-    bool over = false;
+    bool finished = false;
 };
 
 class Emulation
@@ -87,19 +88,20 @@
         const Time begin = m_now;
         at(Duration {}, [this] { tick(); });
         at(Duration {}, [this] { report(); });
-        m_from = begin + std::chrono::seconds(9);
-        m_until = m_from + m_settings.length;
-        at(std::chrono::seconds(9), [this] { ask(); });
-        if (m_settings.failureEvery > Duration {})
-            at(std::chrono::seconds(9) + m_settings.failureEvery, [this] { killAny(); });
-        for (const Duration after : m_settings.firstEngineDies)
-            at(std::chrono::seconds(9) + after, [this] { kill(firstEngine()); });
-        const Time end = m_until + std::chrono::seconds(12);
+        m_trafficStart = begin + std::chrono::seconds(9);
+        m_trafficEnd = m_trafficStart + m_settings.length;
+        at(std::chrono::seconds(9), [this] { submitRequest(); });
+        if (m_settings.failureInterval > Duration {})
+            at(std::chrono::seconds(9) + m_settings.failureInterval,
+               [this] { killRandomEngine(); });
+        for (const Duration after : m_settings.firstEngineFailures)
+            at(std::chrono::seconds(9) + after, [this] { kill(busiestFirstEngine()); });
+        const Time end = m_trafficEnd + std::chrono::seconds(12);
         while (!m_events.empty() && m_events.top().at < end) {
             Event event = m_events.top();
             m_events.pop();
             m_now = event.at;
-            event.what();
+            event.action();
         }
         return result();
     }
@@ -109,16 +111,16 @@
     {
         Time at;
         std::uint64_t number;
-        std::function<void()> what;
+        std::function<void()> action;
         bool operator<(const Event &other) const
         {
             return std::tie(other.at, other.number) < std::tie(at, number);
         }
     };
 
-    void at(Duration after, std::function<void()> what)
+    void at(Duration after, std::function<void()> action)
     {
-        m_events.push({m_now + after, m_nextEvent++, std::move(what)});
+        m_events.push({m_now + after, m_nextEvent++, std::move(action)});
     }
 
     void makeTable()
@@ -182,7 +184,7 @@
         return snapshot;
     }
 
-    /// What the list and the reports tell instances, late.
+    /// Sends the endpoint list and the engines' states to all instances, with a delay.
     void report()
     {
         const FleetPtr snapshot = fleet();
@@ -210,12 +212,12 @@
             carryOut(i, actions);
         }
         if (++m_ticks % 4 == 0)
-            place();
-        cutStalled();
-        at(Tick, [this] { tick(); });
+            updatePlacement();
+        failStalled();
+        at(TickInterval, [this] { tick(); });
     }
 
-    void place()
+    void updatePlacement()
     {
         for (const LayerOrder &order : m_planner.plan(*fleet(), m_service, m_now)) {
             m_planner.orderSent(order, m_now);
@@ -223,7 +225,7 @@
             const std::size_t index = m_byId[order.endpoint];
             const double share = static_cast<double>(order.layers.end - order.layers.begin)
                                  / m_service.model->layers;
-            const bool before = m_now < m_from;
+            const bool before = m_now < m_trafficStart;
             const Duration loads =
                 milliseconds(m_service.model->loadSeconds * 1000 * share * (before ? 0.1 : 1));
             at(loads, [this, index, epoch = m_engines[index].epoch, order] {
@@ -233,23 +235,23 @@
         }
     }
 
-    void ask()
+    void submitRequest()
     {
-        if (m_now >= m_until)
+        if (m_now >= m_trafficEnd)
             return;
         std::exponential_distribution<double> gap(m_settings.requestsPerSecond);
         std::exponential_distribution<double> length(1.0);
         const std::size_t instance = m_random() % m_relays.size();
         Caller caller;
-        const double usual = m_service.model->typicalPromptTokens;
+        const double typicalPrompt = m_service.model->typicalPromptTokens;
         caller.prompt = static_cast<std::uint32_t>(
-            std::clamp(usual * (0.3 + 0.7 * length(m_random)), 20.0, 3 * usual));
+            std::clamp(typicalPrompt * (0.3 + 0.7 * length(m_random)), 20.0, 3 * typicalPrompt));
         const double answer = m_service.model->typicalAnswerTokens;
         caller.answer = static_cast<std::uint32_t>(
             std::clamp(answer * (0.3 + 0.7 * length(m_random)), 6.0, 3 * answer));
-        caller.askedAt = caller.lastEventAt = m_now;
+        caller.submittedAt = caller.lastEventAt = m_now;
         RelayRequest request;
-        request.id = "r" + std::to_string(m_asked++);
+        request.id = "r" + std::to_string(m_requests++);
         request.table = m_table;
         request.route = m_table->routes().data();
         request.timeLeft = std::chrono::seconds(20);
@@ -258,45 +260,45 @@
         RelayActions actions;
         const FlightId flight = m_relays[instance].submit(std::move(request), m_now, actions);
         m_callers[instance][flight] = caller;
-        second(caller).asked += 1;
+        second(caller).requests += 1;
         carryOut(instance, actions);
-        at(milliseconds(1000 * gap(m_random)), [this] { ask(); });
+        at(milliseconds(1000 * gap(m_random)), [this] { submitRequest(); });
     }
 
     void carryOut(std::size_t instance, const RelayActions &actions)
     {
         for (const RelayAction &action : actions) {
             if (const auto *send = std::get_if<SendRequest>(&action))
-                at(Hop, [this, instance, send = *send] { arrive(instance, send); });
-            else if (const auto *abandon = std::get_if<AbandonAttempt>(&action))
-                drop(instance, abandon->flight, abandon->attempt);
-            else if (const auto *ask = std::get_if<QueryEngine>(&action))
-                askEngine(instance, ask->endpoint);
+                at(HopDelay, [this, instance, send = *send] { arrive(instance, send); });
+            else if (const auto *abandoned = std::get_if<AbandonAttempt>(&action))
+                abandon(instance, abandoned->flight, abandoned->attempt);
+            else if (const auto *query = std::get_if<QueryEngine>(&action))
+                queryEngine(instance, query->endpoint);
             else if (const auto *change = std::get_if<ChangePath>(&action))
-                at(Hop, [this, instance, change = *change] { changePath(instance, change); });
+                at(HopDelay, [this, instance, change = *change] { changePath(instance, change); });
             else if (const auto *end = std::get_if<FinishFlight>(&action))
-                ended(instance, *end);
+                handleFinished(instance, *end);
         }
     }
 
-    void ended(std::size_t instance, const FinishFlight &end)
+    void handleFinished(std::size_t instance, const FinishFlight &end)
     {
         Caller &caller = m_callers[instance][end.flight];
-        caller.over = true;
-        (end.outcome == FlightOutcome::NotExecuted ? m_refused : m_cut) += 1;
+        caller.finished = true;
+        (end.outcome == FlightOutcome::NotExecuted ? m_refused : m_truncated) += 1;
     }
 
-    void askEngine(std::size_t instance, const std::string &id)
+    void queryEngine(std::size_t instance, const std::string &id)
     {
         const std::size_t index = m_byId[id];
-        at(2 * Hop, [this, instance, id, index] {
+        at(2 * HopDelay, [this, instance, id, index] {
             RelayActions actions;
             if (m_now < m_engines[index].downUntil) {
                 m_relays[instance].queryFailed(id, m_now, actions);
             } else {
                 std::vector<std::string> stalled;
                 for (const Run &run : m_runs)
-                    if (!run.over && run.stalledSince && run.engines.front() == index)
+                    if (!run.finished && run.stalledSince && run.engines.front() == index)
                         stalled.push_back(m_engines[run.engines[run.stage]].endpoint.address);
                 m_relays[instance].queryAnswered(id, stalled, 1, m_now, actions);
             }
@@ -304,16 +306,16 @@
         });
     }
 
-    /// The first engine carries a run on along another path: the new engines
-    /// read its tokens so far, the others keep what they have.
+    /// Moves a run to another path under its first engine: engines new to the path
+    /// prefill the tokens so far, the others keep their caches.
     void changePath(std::size_t instance, const ChangePath &change)
     {
         const auto found = std::find_if(m_runs.begin(), m_runs.end(), [&](const Run &run) {
-            return !run.over && run.instance == instance && run.flight == change.flight
+            return !run.finished && run.instance == instance && run.flight == change.flight
                    && run.attempt == change.attempt;
         });
         const auto answer = [&](bool taken) {
-            at(Hop, [this, instance, change, taken] {
+            at(HopDelay, [this, instance, change, taken] {
                 RelayActions actions;
                 m_relays[instance].pathChanged(change.flight, change.attempt,
                                                taken ? PathReply::Accepted : PathReply::Lost, {},
@@ -336,39 +338,39 @@
                 continue;
             const Engine &engine = m_engines[index];
             const LayerRange wanted = change.path[i].layers;
-            if (!holdsPart(moved, i) || !hasRoom(moved, i))
+            if (!holdsPart(moved, i) || !hasMemory(moved, i))
                 return answer(false);
             prefillMs += moved.context / m_service.model->prefillTokensPerMs
                          * engine.kind->prefillFactor * (wanted.end - wanted.begin)
                          / m_service.model->layers;
         }
-        leave(*found);
+        release(*found);
         const auto id = static_cast<std::size_t>(found - m_runs.begin());
         leavePasses(id);
         moved.stage = 0;
         moved.stalledSince.reset();
         *found = std::move(moved);
-        enter(id);
-        at(milliseconds(prefillMs), [this, id] { wait(id); });
+        reserve(id);
+        at(milliseconds(prefillMs), [this, id] { queuePass(id); });
         answer(true);
     }
 
     // Engines
 
-    double need(const Run &run, std::size_t part) const
+    double memoryNeeded(const Run &run, std::size_t part) const
     {
-        return static_cast<double>(run.context + run.unread)
+        return static_cast<double>(run.context + run.pendingTokens)
                * (run.path[part].layers.end - run.path[part].layers.begin);
     }
 
-    double room(std::size_t index) const
+    double capacity(std::size_t index) const
     {
         const Engine &engine = m_engines[index];
         const LayerRange held = engine.endpoint.layers;
         return m_service.model->kvCapacity(*engine.kind, held.end - held.begin);
     }
 
-    /// Whether the engine of a part is up and holds its layers.
+    /// Returns whether the engine of a path part is up and holds the part's layers.
     bool holdsPart(const Run &run, std::size_t part) const
     {
         const Engine &engine = m_engines[run.engines[part]];
@@ -377,10 +379,10 @@
         return m_now >= engine.downUntil && held.begin <= wanted.begin && held.end >= wanted.end;
     }
 
-    bool hasRoom(const Run &run, std::size_t part) const
+    bool hasMemory(const Run &run, std::size_t part) const
     {
         const std::size_t index = run.engines[part];
-        return m_engines[index].used + need(run, part) <= room(index);
+        return m_engines[index].used + memoryNeeded(run, part) <= capacity(index);
     }
 
     void leavePasses(std::size_t id)
@@ -399,17 +401,17 @@
         run.attempt = send.attempt;
         run.path = send.path;
         const Caller &caller = m_callers[instance][send.flight];
-        run.made = static_cast<std::uint32_t>(send.afterEvent.value_or(0))
-                   * m_service.model->tokensPerPass;
-        run.unread = caller.prompt + run.made;
+        run.generated = static_cast<std::uint32_t>(send.afterEvent.value_or(0))
+                        * m_service.model->tokensPerPass;
+        run.pendingTokens = caller.prompt + run.generated;
         run.answer = caller.answer;
         for (const PathPart &part : send.path)
             run.engines.push_back(m_byId[part.endpoint]);
         for (std::size_t i = 0; i < run.engines.size(); ++i) {
             const Engine &engine = m_engines[run.engines[i]];
             if (i == 0 && m_now < engine.downUntil)
-                return; // silent: the instance notices by itself
-            if (!holdsPart(run, i) || (i > 0 && !hasRoom(run, i)))
+                return; // no answer: the instance detects the failure by its own timeout
+            if (!holdsPart(run, i) || (i > 0 && !hasMemory(run, i)))
                 return reject(run, engine.endpoint.address);
         }
         m_runs.push_back(std::move(run));
@@ -420,7 +422,7 @@
     void reject(const Run &run, const std::string &address)
     {
         m_rejected += 1;
-        at(Hop, [this, run, address] {
+        at(HopDelay, [this, run, address] {
             AnswerHead head;
             head.status = 503;
             head.notExecuted = true;
@@ -437,45 +439,45 @@
         while (!engine.queue.empty()) {
             const std::size_t id = engine.queue.front();
             Run &run = m_runs[id];
-            if (!run.over && !hasRoom(run, 0))
+            if (!run.finished && !hasMemory(run, 0))
                 return;
             engine.queue.erase(engine.queue.begin());
-            if (run.over)
+            if (run.finished)
                 continue;
-            enter(id);
-            wait(id);
+            reserve(id);
+            queuePass(id);
         }
     }
 
-    void enter(std::size_t id)
+    void reserve(std::size_t id)
     {
         Run &run = m_runs[id];
         run.admitted = true;
         run.order = m_nextOrder++;
         for (std::size_t i = 0; i < run.engines.size(); ++i) {
-            m_engines[run.engines[i]].used += need(run, i);
+            m_engines[run.engines[i]].used += memoryNeeded(run, i);
             m_engines[run.engines[i]].active += 1;
         }
     }
 
-    void leave(Run &run)
+    void release(Run &run)
     {
         if (!std::exchange(run.admitted, false))
             return;
         for (std::size_t i = 0; i < run.engines.size(); ++i) {
             Engine &engine = m_engines[run.engines[i]];
-            engine.used = std::max(0.0, engine.used - need(run, i));
+            engine.used = std::max(0.0, engine.used - memoryNeeded(run, i));
             engine.active -= std::min(engine.active, 1U);
         }
         const std::size_t first = run.engines.front();
         at(Duration {}, [this, first] { admit(first); });
     }
 
-    /// The run wants a pass at the engine of its present stage.
-    void wait(std::size_t id)
+    /// Queues the run for the next pass of the engine of its current stage.
+    void queuePass(std::size_t id)
     {
         Run &run = m_runs[id];
-        if (run.over)
+        if (run.finished)
             return;
         Engine &engine = m_engines[run.engines[run.stage]];
         if (m_now < engine.downUntil) {
@@ -504,25 +506,25 @@
     Duration passTime(const Engine &engine) const
     {
         const LayeredModel &model = *m_service.model;
-        double writerMs = 0;
-        double readerMs = 0;
+        double decodeMs = 0;
+        double prefillMs = 0;
         double share = 0;
         for (const std::size_t id : engine.inPass) {
             const Run &run = m_runs[id];
             const LayerRange layers = run.path[run.stage].layers;
             const double part = static_cast<double>(layers.end - layers.begin) / model.layers;
-            if (run.unread > 0) {
-                const double tokens = std::min(run.unread, ChunkTokens);
-                readerMs += tokens / model.prefillTokensPerMs * engine.kind->prefillFactor * part;
+            if (run.pendingTokens > 0) {
+                const double tokens = std::min(run.pendingTokens, ChunkTokens);
+                prefillMs += tokens / model.prefillTokensPerMs * engine.kind->prefillFactor * part;
             } else {
                 share = std::max(share, part);
-                writerMs +=
+                decodeMs +=
                     (model.perSequenceMs + run.context / 1000.0 * model.contextMsPer1kTokens)
                     * part;
             }
         }
-        const double step = share * model.stepMs + writerMs;
-        return milliseconds(step * engine.kind->stepFactor * model.tokensPerPass + readerMs);
+        const double step = share * model.stepMs + decodeMs;
+        return milliseconds(step * engine.kind->stepFactor * model.tokensPerPass + prefillMs);
     }
 
     void endPass(std::size_t index)
@@ -532,11 +534,11 @@
         std::vector<std::size_t> done;
         done.swap(engine.inPass);
         for (const std::size_t id : done) {
-            if (m_runs[id].over)
+            if (m_runs[id].finished)
                 continue;
             if (m_runs[id].stage + 1 < m_runs[id].engines.size()) {
                 m_runs[id].stage += 1;
-                at(Hop, [this, id] { wait(id); });
+                at(HopDelay, [this, id] { queuePass(id); });
             } else {
                 finishRound(id);
             }
@@ -544,25 +546,25 @@
         startPass(index);
     }
 
-    /// The run went through all stages once.
+    /// Handles a run that has passed through all stages once.
     void finishRound(std::size_t id)
     {
         Run &run = m_runs[id];
         run.stage = 0;
-        if (run.unread > 0) {
-            const std::uint32_t read = std::min(run.unread, ChunkTokens);
-            run.unread -= read;
+        if (run.pendingTokens > 0) {
+            const std::uint32_t read = std::min(run.pendingTokens, ChunkTokens);
+            run.pendingTokens -= read;
             run.context += read;
-            at(Hop, [this, id] { wait(id); });
+            at(HopDelay, [this, id] { queuePass(id); });
             return;
         }
         const std::uint32_t tokensPerPass = m_service.model->tokensPerPass;
-        run.made += tokensPerPass;
+        run.generated += tokensPerPass;
         grow(run, tokensPerPass);
         emit(id);
-        if (run.over)
+        if (run.finished)
             return;
-        at(Hop, [this, id] { wait(id); });
+        at(HopDelay, [this, id] { queuePass(id); });
     }
 
     void grow(Run &run, std::uint32_t tokens)
@@ -571,26 +573,27 @@
         for (std::size_t i = 0; i < run.engines.size(); ++i) {
             const LayerRange layers = run.path[i].layers;
             m_engines[run.engines[i]].used += tokens * double(layers.end - layers.begin);
-            if (m_engines[run.engines[i]].used > room(run.engines[i]))
+            if (m_engines[run.engines[i]].used > capacity(run.engines[i]))
                 preempt(run.engines[i]);
         }
     }
 
-    /// The newest run on the engine gives its memory back and is read again.
+    /// Preempts the newest run on the engine: releases its memory and queues it
+    /// for another prefill.
     void preempt(std::size_t index)
     {
         Run *newest = nullptr;
         for (Run &run : m_runs) {
             const bool here =
                 std::find(run.engines.begin(), run.engines.end(), index) != run.engines.end();
-            if (!run.over && run.admitted && here && (!newest || run.order > newest->order))
+            if (!run.finished && run.admitted && here && (!newest || run.order > newest->order))
                 newest = &run;
         }
         if (!newest)
             return;
         m_preempted += 1;
-        leave(*newest);
-        newest->unread = newest->context;
+        release(*newest);
+        newest->pendingTokens = newest->context;
         newest->context = 0;
         newest->stage = 0;
         const auto id = static_cast<std::size_t>(newest - m_runs.data());
@@ -617,80 +620,80 @@
             caller.longestGapMs = std::max(caller.longestGapMs, pause);
             caller.gapSumMs += pause;
         }
-        if (caller.brokenAt) {
-            m_recoveries.push_back((m_now - *caller.brokenAt).count() / 1000.0);
-            caller.brokenAt.reset();
+        if (caller.interruptedAt) {
+            m_recoveriesMs.push_back((m_now - *caller.interruptedAt).count() / 1000.0);
+            caller.interruptedAt.reset();
         }
         caller.lastEventAt = m_now;
         m_tokens += m_service.model->tokensPerPass;
         relay.eventsForwarded(run.flight, run.attempt, caller.events, m_now, actions);
-        if (run.made >= run.answer) {
+        if (run.generated >= run.answer) {
             relay.streamCompleted(run.flight, run.attempt, m_now, actions);
-            caller.over = true;
+            caller.finished = true;
             record(caller);
-            run.over = true;
-            leave(run);
+            run.finished = true;
+            release(run);
         }
         carryOut(run.instance, actions);
     }
 
     void record(const Caller &caller)
     {
-        m_firsts.push_back(caller.firstMs);
+        m_firstEventMs.push_back(caller.firstMs);
         if (caller.events > 1)
-            m_gaps.push_back(caller.gapSumMs / double(caller.events - 1));
+            m_meanGapsMs.push_back(caller.gapSumMs / double(caller.events - 1));
         const bool onTime = caller.firstMs <= m_settings.targetLatency.count() / 1000.0
                             && caller.longestGapMs <= m_settings.targetEventGap.count() / 1000.0;
-        const bool stayed = std::max(caller.firstMs, caller.longestGapMs) <= CutCaller;
-        (onTime ? m_onTime : stayed ? m_late : m_cut) += 1;
+        const bool stayed = std::max(caller.firstMs, caller.longestGapMs) <= MaxPauseMs;
+        (onTime ? m_onTime : stayed ? m_late : m_truncated) += 1;
         second(caller).onTime += onTime ? 1 : 0;
     }
 
     EmulatedSecond &second(const Caller &caller)
     {
-        const auto index =
-            static_cast<std::size_t>((caller.askedAt - m_from) / Duration(std::chrono::seconds(1)));
+        const auto index = static_cast<std::size_t>((caller.submittedAt - m_trafficStart)
+                                                    / Duration(std::chrono::seconds(1)));
         if (index >= m_seconds.size())
             m_seconds.resize(index + 1);
         return m_seconds[index];
     }
 
-    void drop(std::size_t instance, FlightId flight, std::uint32_t attempt)
+    void abandon(std::size_t instance, FlightId flight, std::uint32_t attempt)
     {
         for (Run &run : m_runs)
-            if (!run.over && run.instance == instance && run.flight == flight
+            if (!run.finished && run.instance == instance && run.flight == flight
                 && run.attempt == attempt) {
-                run.over = true;
-                leave(run);
+                run.finished = true;
+                release(run);
             }
     }
 
     // Failures
 
-    void killAny()
+    void killRandomEngine()
     {
-        if (m_now >= m_until)
+        if (m_now >= m_trafficEnd)
             return;
         kill(m_random() % m_engines.size());
-        at(m_settings.failureEvery, [this] { killAny(); });
+        at(m_settings.failureInterval, [this] { killRandomEngine(); });
     }
 
-    /// The engine on which most paths begin.
-    std::size_t firstEngine() const
+    /// Returns the engine that is the first stage of most active runs.
+    std::size_t busiestFirstEngine() const
     {
-        std::vector<std::uint32_t> begun(m_engines.size(), 0);
+        std::vector<std::uint32_t> activePaths(m_engines.size(), 0);
         for (const Run &run : m_runs)
-            begun[run.engines.front()] += run.over ? 0 : 1;
-        return static_cast<std::size_t>(std::max_element(begun.begin(), begun.end())
-                                        - begun.begin());
+            activePaths[run.engines.front()] += run.finished ? 0 : 1;
+        return static_cast<std::size_t>(std::max_element(activePaths.begin(), activePaths.end())
+                                        - activePaths.begin());
     }
 
     void kill(std::size_t index)
     {
         Engine &engine = m_engines[index];
-        engine.downUntil = m_now + m_settings.failureFor;
+        engine.downUntil = m_now + m_settings.failureDuration;
         engine.epoch += 1;
-        engine.endpoint.id += "'"; // a restart is another process
+        engine.endpoint.id += "'"; // a restarted process has another id
         engine.endpoint.layers = {};
         m_byId[engine.endpoint.id] = index;
         for (const std::size_t id : engine.inPass)
@@ -698,9 +701,9 @@
         for (const std::size_t id : engine.waiting)
             m_runs[id].stalledSince = m_now;
         for (Run &run : m_runs)
-            if (!run.over
+            if (!run.finished
                 && std::find(run.engines.begin(), run.engines.end(), index) != run.engines.end())
-                m_callers[run.instance][run.flight].brokenAt = m_now;
+                m_callers[run.instance][run.flight].interruptedAt = m_now;
         engine.inPass.clear();
         engine.waiting.clear();
         engine.queue.clear();
@@ -709,13 +712,13 @@
         engine.active = 0;
     }
 
-    void cutStalled()
+    void failStalled()
     {
         for (Run &run : m_runs) {
-            if (run.over || !run.stalledSince || m_now - *run.stalledSince < Stall)
+            if (run.finished || !run.stalledSince || m_now - *run.stalledSince < StallTimeout)
                 continue;
-            run.over = true;
-            leave(run);
+            run.finished = true;
+            release(run);
             RelayActions actions;
             m_relays[run.instance].attemptFailed(run.flight, run.attempt, AttemptFailure::Broken,
                                                  m_now, actions);
@@ -735,11 +738,11 @@
     EmulationResult result() const
     {
         EmulationResult result;
-        result.asked = m_asked;
+        result.requests = m_requests;
         result.onTime = m_onTime;
         result.late = m_late;
         result.refused = m_refused;
-        result.cut = m_cut;
+        result.truncated = m_truncated;
         result.rejected = m_rejected;
         result.preempted = m_preempted;
         result.tokens = m_tokens;
@@ -747,10 +750,10 @@
         result.seconds = m_seconds;
         for (const Relay &relay : m_relays)
             result.resent += relay.counts().resent;
-        result.firstMedianMs = quantile(m_firsts, 0.5);
-        result.firstHighMs = quantile(m_firsts, 0.99);
-        result.gapMeanMs = quantile(m_gaps, 0.5);
-        result.recoveryMs = quantile(m_recoveries, 0.5);
+        result.medianFirstEventMs = quantile(m_firstEventMs, 0.5);
+        result.p99FirstEventMs = quantile(m_firstEventMs, 0.99);
+        result.medianGapMs = quantile(m_meanGapsMs, 0.5);
+        result.medianRecoveryMs = quantile(m_recoveriesMs, 0.5);
         return result;
     }
 
@@ -767,25 +770,25 @@
     std::vector<Run> m_runs;
     std::priority_queue<Event> m_events;
     Time m_now {std::chrono::hours(1)};
-    Time m_from {};
-    Time m_until {};
+    Time m_trafficStart {};
+    Time m_trafficEnd {};
     std::uint64_t m_nextEvent = 0;
     std::uint64_t m_nextOrder = 0;
     std::uint64_t m_snapshots = 0;
     std::uint64_t m_ticks = 0;
-    std::uint64_t m_asked = 0;
+    std::uint64_t m_requests = 0;
     std::uint64_t m_onTime = 0;
     std::uint64_t m_late = 0;
     std::uint64_t m_refused = 0;
-    std::uint64_t m_cut = 0;
+    std::uint64_t m_truncated = 0;
     std::uint64_t m_rejected = 0;
     std::uint64_t m_preempted = 0;
     std::uint64_t m_tokens = 0;
     std::uint64_t m_orders = 0;
     std::vector<EmulatedSecond> m_seconds;
-    std::vector<double> m_firsts;
-    std::vector<double> m_gaps;
-    std::vector<double> m_recoveries;
+    std::vector<double> m_firstEventMs;
+    std::vector<double> m_meanGapsMs;
+    std::vector<double> m_recoveriesMs;
 };
 
 } // namespace
@@ -794,10 +797,10 @@
 {
     EmulatedSecond sum;
     for (std::size_t i = from; i < seconds.size(); ++i) {
-        sum.asked += seconds[i].asked;
+        sum.requests += seconds[i].requests;
         sum.onTime += seconds[i].onTime;
     }
-    return sum.asked ? static_cast<double>(sum.onTime) / static_cast<double>(sum.asked) : 0;
+    return sum.requests ? static_cast<double>(sum.onTime) / static_cast<double>(sum.requests) : 0;
 }
 
 EmulationResult emulate(const EmulationSettings &settings)
@@ -807,8 +810,8 @@
 
 double tokenBound(const EmulationSettings &settings)
 {
-    // Each engine runs its layers for a large batch; the layers that it could
-    // run in a second, over those of one token with its share of the prompt.
+    // In a large batch the cost of a step is shared. An engine's throughput is then
+    // bound by the time per sequence and the share of the prompt per generated token.
     const LayeredModel &model = settings.model;
     const double context = (model.typicalPromptTokens + model.typicalAnswerTokens / 2.0) / 1000;
     const double prompts =
@@ -824,7 +827,7 @@
     return perSecond;
 }
 
-EmulationSettings todaysFleet()
+EmulationSettings referenceFleet()
 {
     EmulationSettings settings;
     LayeredModel &model = settings.model;
@@ -850,7 +853,7 @@
 
 EmulationSettings grownFleet()
 {
-    EmulationSettings settings = todaysFleet();
+    EmulationSettings settings = referenceFleet();
     settings.model.tokensPerPass = 5;
     settings.model.prefillTokensPerMs = 164;
     settings.model.bytesPerToken = 590'000;
@@ -870,7 +873,7 @@
 
 EmulationSettings largeFleet()
 {
-    EmulationSettings settings = todaysFleet();
+    EmulationSettings settings = referenceFleet();
     settings.model.tokensPerPass = 6;
     settings.model.prefillTokensPerMs = 128;
     settings.model.bytesPerToken = 754'000;
@@ -892,9 +895,9 @@
 
 EmulationSettings designFleet()
 {
-    EmulationSettings settings = todaysFleet();
+    EmulationSettings settings = referenceFleet();
     settings.engines.clear();
-    const std::uint32_t counts[] = {16, 52, 63}; // of each kind in a domain: 786 in all
+    const std::uint32_t counts[] = {16, 52, 63}; // per kind and domain; 786 engines in total
     const char *kinds[] = {"large", "middle", "small"};
     for (int domain = 0; domain < 6; ++domain)
         for (int kind = 0; kind < 3; ++kind)
--- a/src/fakes/layeremulator.h
+++ b/src/fakes/layeremulator.h
@@ -1,8 +1,9 @@
 /// \file
-/// Engines that each hold a range of layers, in virtual time, from the published
-/// formulas: passes over all that waits, prompts read in pieces, memory in tokens
-/// times layers, queue and preemption. Relays stand before them. One process, no
-/// network but a delay; not a simulator of a fleet.
+/// Emulates in virtual time engines that each hold a range of layers, and real
+/// Relay objects that send requests to them. Engines batch all waiting attempts
+/// into a pass, prefill prompts in chunks, account memory in tokens times layers,
+/// queue and preempt. The network is a constant delay; the store, connections and
+/// updates between instances are omitted.
 
 #pragma once
 
@@ -14,7 +15,7 @@
 
 namespace balsamloft::fakes {
 
-/// A number of equal engines in a domain.
+/// Engines of one kind in one failure domain.
 struct EmulatedGroup
 {
     std::string domain;
@@ -22,20 +23,22 @@
     std::uint32_t count = 0;
 };
 
-/// What is emulated.
+/// The fleet, the load and the faults of an emulation.
 struct EmulationSettings
 {
     LayeredModel model;
     std::vector<EmulatedGroup> engines;
     std::uint32_t instancesPerDomain = 3;
-    double requestsPerSecond = 80; ///< over all instances
-    Duration length {20'000'000};
-    Duration reportInterval {1'000'000}; ///< how often instances learn engines' states
-    Duration reportLag {200'000};
-    Duration failureEvery {0}; ///< an engine dies this often; 0: never
-    Duration failureFor {4'000'000};
-    /// After so long a time of traffic the engine on which most paths begin dies.
-    std::vector<Duration> firstEngineDies;
+    double requestsPerSecond = 80; ///< of all instances together
+    Duration length {20'000'000}; ///< of the traffic
+    Duration reportInterval {
+        1'000'000}; ///< between reports of the engines' states to the instances
+    Duration reportLag {200'000}; ///< from the state of an engine to its receipt
+    Duration failureInterval {0}; ///< between crashes of random engines; 0: no crashes
+    Duration failureDuration {4'000'000}; ///< from a crash to the restart
+    /// Times since the start of the traffic at which the engine crashes that is the
+    /// first stage of most paths.
+    std::vector<Duration> firstEngineFailures;
     Duration targetLatency {500'000};
     Duration targetEventGap {200'000};
     LayerPlannerSettings planner;
@@ -43,56 +46,59 @@
     std::uint64_t seed = 1;
 };
 
-/// What became of the requests of one second.
+/// Requests submitted in one second.
 struct EmulatedSecond
 {
-    std::uint64_t asked = 0;
+    std::uint64_t requests = 0;
     std::uint64_t onTime = 0;
 };
 
-/// What came out.
+/// Results of an emulation.
 struct EmulationResult
 {
-    std::uint64_t asked = 0;
-    std::uint64_t onTime = 0; ///< first event and all pauses as wanted, complete
-    std::uint64_t late = 0;
-    std::uint64_t refused = 0;
-    std::uint64_t cut = 0;
+    std::uint64_t requests = 0;
+    std::uint64_t onTime = 0; ///< completed; first event and all gaps within the targets
+    std::uint64_t late = 0; ///< completed, but beyond a target
+    std::uint64_t refused = 0; ///< failed without having been executed
+    std::uint64_t truncated = 0; ///< failed after a start, or slower than callers wait
     std::uint64_t resent = 0;
-    std::uint64_t rejected = 0; ///< by engines, for want of room
+    std::uint64_t rejected = 0; ///< by engines, for lack of memory or layers
     std::uint64_t preempted = 0;
-    std::uint64_t tokens = 0; ///< that callers got
-    std::uint64_t orders = 0;
-    double firstMedianMs = 0;
-    double firstHighMs = 0; ///< 99 in 100 are faster
-    double gapMeanMs = 0;
-    double recoveryMs = 0; ///< median, from an engine's death to a broken stream's next event
+    std::uint64_t tokens = 0; ///< that callers received
+    std::uint64_t orders = 0; ///< to load layers
+    double medianFirstEventMs = 0;
+    double p99FirstEventMs = 0;
+    double medianGapMs = 0; ///< median over streams of their mean gap between events
+    double medianRecoveryMs =
+        0; ///< from an engine's crash to the next event of an interrupted stream
 
-    std::vector<EmulatedSecond> seconds; ///< by the time of traffic at which they were asked
+    std::vector<EmulatedSecond>
+        seconds; ///< by the second of the traffic in which requests were submitted
 
-    double onTimeShare() const { return asked ? static_cast<double>(onTime) / asked : 0; }
+    double onTimeShare() const { return requests ? static_cast<double>(onTime) / requests : 0; }
 
-    /// The same of what was asked after \a seconds of traffic.
+    /// Returns the on-time share of requests submitted after \a seconds of traffic.
     double onTimeShareFrom(std::size_t seconds) const;
 };
 
-/// Runs one emulation from cold engines to its end.
+/// Runs an emulation, starting with engines that hold no layers.
 EmulationResult emulate(const EmulationSettings &settings);
 
-/// Tokens a second that the fleet could make at most, were every engine busy
-/// with full batches and the layers cut so that none waits for another.
+/// Returns an upper bound on the fleet's tokens per second: all engines run full
+/// batches all the time, and layers are divided so that no engine waits for another.
 double tokenBound(const EmulationSettings &settings);
 
-/// The engines and the load of today's deployments.
-EmulationSettings todaysFleet();
+/// Reference fleet: 33 engines in 3 domains, 9 instances, 80 requests per second.
+EmulationSettings referenceFleet();
 
-/// Four domains of many small instances, each with few requests of its own.
+/// Four domains of 20 instances and 86 engines; each instance has few requests of its own.
 EmulationSettings grownFleet();
 
-/// Five domains of unequal engines before 295 instances, two requests a second each.
+/// Five domains with 295 instances, about 1.7 requests per second each, and
+/// a different mix of engines in each domain.
 EmulationSettings largeFleet();
 
-/// 340 instances before 790 engines in 6 domains.
+/// Design limit: about 340 instances and 790 engines in 6 domains.
 EmulationSettings designFleet();
 
 } // namespace balsamloft::fakes
--- a/src/fakes/load_tool.cpp
+++ b/src/fakes/load_tool.cpp
@@ -1,5 +1,6 @@
-// A load tool: keeps a number of completions running and reports how fast
-// they went, either through a daemon or against engines directly.
+// A load generator: keeps a fixed number of completions in progress, through a
+// router daemon or directly on a chain of engines, and reports the throughput and
+// the median time per token.
 //
 //   load_tool --daemon=IP:PORT --token=TOKEN ...
 //   load_tool --engines=IP:PORT,IP:PORT,... (a chain, in the order of layers)
@@ -16,14 +17,14 @@
 #include <algorithm>
 #include <iostream>
 
-DEFINE_string(daemon, "", "callers' address of a daemon");
+DEFINE_string(daemon, "", "address on which a daemon accepts callers");
 DEFINE_string(token, "", "bearer token of a team");
 DEFINE_string(engines, "", "engines of one chain, in the order of their layers");
 DEFINE_int32(layers_each, 16, "layers that each engine of the chain holds");
 DEFINE_string(model, "m", "name of the model");
-DEFINE_int32(streams, 1, "completions that run at the same time");
-DEFINE_int32(requests, 100, "completions in all");
-DEFINE_int32(tokens, 50, "tokens of each");
+DEFINE_int32(streams, 1, "number of concurrent completions");
+DEFINE_int32(requests, 100, "total number of completions");
+DEFINE_int32(tokens, 50, "tokens per completion");
 
 namespace http = boost::beast::http;
 
@@ -83,7 +84,8 @@
     }
 
 private:
-    struct Direct
+    /// A completion that runs directly on the chain of engines.
+    struct DirectCompletion
     {
         std::string request;
         std::string input;
@@ -98,7 +100,7 @@
             return;
         const std::string id = "load-" + std::to_string(m_started++);
         if (FLAGS_daemon.empty()) {
-            auto direct = std::make_shared<Direct>();
+            auto direct = std::make_shared<DirectCompletion>();
             direct->request = id;
             direct->input = id;
             direct->startedAt = steadyNow();
@@ -114,14 +116,14 @@
         const Time startedAt = steadyNow();
         m_client.send(FLAGS_daemon, std::move(request), {.timeout = std::chrono::minutes(10)},
                       [this, startedAt](const HttpResult &result) {
-                          const bool whole =
+                          const bool complete =
                               result.response
                               && result.response->body().find("data: [DONE]") != std::string::npos;
-                          finished(startedAt, whole);
+                          finished(startedAt, complete);
                       });
     }
 
-    void step(const std::shared_ptr<Direct> &direct)
+    void step(const std::shared_ptr<DirectCompletion> &direct)
     {
         const auto layers = static_cast<std::uint32_t>(FLAGS_layers_each);
         const auto begin = static_cast<std::uint32_t>(direct->stage) * layers;
@@ -135,10 +137,10 @@
         wire.input = direct->input;
         m_client.send(m_engines[direct->stage], post("/v1/step", toJson(wire)),
                       {.timeout = std::chrono::minutes(1)},
-                      [this, direct](const HttpResult &result) { stepped(direct, result); });
+                      [this, direct](const HttpResult &result) { handleStep(direct, result); });
     }
 
-    void stepped(const std::shared_ptr<Direct> &direct, const HttpResult &result)
+    void handleStep(const std::shared_ptr<DirectCompletion> &direct, const HttpResult &result)
     {
         Reason reason;
         const auto answer = result.response && result.response->result_int() == 200
@@ -155,9 +157,9 @@
         step(direct);
     }
 
-    void finished(Time startedAt, bool whole)
+    void finished(Time startedAt, bool complete)
     {
-        if (whole)
+        if (complete)
             m_perToken.push_back(static_cast<double>((steadyNow() - startedAt).count())
                                  / FLAGS_tokens);
         else
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -1,5 +1,5 @@
-// A protocol of the project's own for `balsamloft-entry`, so that its tests need
-// neither the platform nor the platform's names.
+// An implementation of EntryProtocol for tests: the entry instance can be tested
+// without the platform and independently of the platform's names and formats.
 
 #include <balsamloft/entryprotocol.h>
 
@@ -17,10 +17,10 @@
     return value && value->is_string() ? std::string(value->get_string()) : std::string();
 }
 
-std::int64_t number(const json::object &object, std::string_view name, std::int64_t otherwise = 0)
+std::int64_t number(const json::object &object, std::string_view name, std::int64_t fallback = 0)
 {
     const json::value *value = object.if_contains(name);
-    return value && value->is_int64() ? value->get_int64() : otherwise;
+    return value && value->is_int64() ? value->get_int64() : fallback;
 }
 
 std::optional<json::object> parsed(std::string_view body, Reason &reason)
@@ -28,7 +28,7 @@
     boost::system::error_code error;
     json::value value = json::parse(body, error);
     if (error || !value.is_object()) {
-        reason = "no JSON object";
+        reason = "not a JSON object";
         return std::nullopt;
     }
     return std::move(value.get_object());
--- a/src/libbalsamloft/layerplanner_test.cpp
+++ b/src/libbalsamloft/layerplanner_test.cpp
@@ -114,7 +114,7 @@
 /// A domain with two large engines, which hold most layers, and smaller ones.
 PlannerSimulation domainWithTwoLarge()
 {
-    PlannerSimulation simulation(todaysFleet().model);
+    PlannerSimulation simulation(referenceFleet().model);
     for (int i = 0; i < 2; ++i) {
         simulation.add("large-" + std::to_string(i), "a", "large");
         simulation.add("middle-" + std::to_string(i), "a", "middle");
