--- a/src/bench/control_bench.cpp
+++ b/src/bench/control_bench.cpp
@@ -18,38 +18,38 @@
     scenario.gossip = state.range(1) != 1;
     scenario.polling = state.range(1) != 0;
     scenario.partitionedShare = static_cast<double>(state.range(2)) / 100;
-    PropagationFigures figures;
+    PropagationResult result;
     for (auto _ : state) // NOLINT(readability-identifier-naming)
-        figures = runPropagation(scenario);
+        result = runPropagation(scenario);
     static constexpr const char *Names[] = {"gossip alone", "polling alone", "both"};
     state.SetLabel(Names[state.range(1)]);
-    state.counters["median_s"] = figures.medianSeconds;
-    state.counters["worst_s"] = figures.worstSeconds;
-    state.counters["missed"] = static_cast<double>(figures.timeouts);
+    state.counters["median_s"] = result.medianSeconds;
+    state.counters["worst_s"] = result.worstSeconds;
+    state.counters["missed"] = static_cast<double>(result.timeouts);
 }
 
 void cost(benchmark::State &state)
 {
-    CostFigures figures;
+    CostResult result;
     for (auto _ : state) // NOLINT(readability-identifier-naming)
-        figures = runCost(static_cast<std::size_t>(state.range(0)),
-                          static_cast<std::size_t>(state.range(1)),
-                          static_cast<std::size_t>(state.range(2)));
-    state.counters["bytes_s"] = figures.bytesPerSecond;
-    state.counters["messages_s"] = figures.messagesPerSecond;
-    state.counters["reads_s"] = figures.readsPerSecond;
-    state.counters["cpu_us"] = figures.cpuMicrosPerSecond;
+        result = runCost(static_cast<std::size_t>(state.range(0)),
+                         static_cast<std::size_t>(state.range(1)),
+                         static_cast<std::size_t>(state.range(2)));
+    state.counters["bytes_s"] = result.bytesPerSecond;
+    state.counters["messages_s"] = result.messagesPerSecond;
+    state.counters["reads_s"] = result.readsPerSecond;
+    state.counters["cpu_us"] = result.cpuMicrosPerSecond;
 }
 
 void detection(benchmark::State &state)
 {
-    DetectionFigures figures;
+    DetectionResult result;
     for (auto _ : state) // NOLINT(readability-identifier-naming)
-        figures = runDetection(static_cast<std::size_t>(state.range(0)), state.range(1) != 0, 0.1);
+        result = runDetection(static_cast<std::size_t>(state.range(0)), state.range(1) != 0, 0.1);
     state.SetLabel(state.range(1) != 0 ? "leaving" : "dead");
-    state.counters["first_s"] = figures.firstSeconds;
-    state.counters["all_s"] = figures.allSeconds;
-    state.counters["false"] = static_cast<double>(figures.falseDeaths);
+    state.counters["first_s"] = result.firstSeconds;
+    state.counters["all_s"] = result.allSeconds;
+    state.counters["false"] = static_cast<double>(result.falseDeaths);
 }
 
 /// Returns the resident set size of this process in bytes.
--- a/src/bench/controlscenarios.cpp
+++ b/src/bench/controlscenarios.cpp
@@ -23,10 +23,10 @@
 
 } // namespace
 
-PropagationFigures runPropagation(const PropagationScenario &scenario)
+PropagationResult runPropagation(const PropagationScenario &scenario)
 {
     std::vector<double> times;
-    PropagationFigures figures;
+    PropagationResult result;
     for (std::uint64_t seed = 1; seed <= scenario.seeds; ++seed) {
         ControlHarness harness({.nodes = scenario.nodes,
                                 .loss = scenario.loss,
@@ -36,7 +36,7 @@
         harness.runFor(std::chrono::seconds(30));
         harness.propose(0, ControlHarness::teamProposal("a", "a", 0.1));
         if (!harness.timeToVersion(1, std::chrono::seconds(60))) {
-            ++figures.timeouts;
+            ++result.timeouts;
             continue;
         }
         const auto partitioned = static_cast<std::size_t>(scenario.partitionedShare
@@ -49,14 +49,14 @@
         if (took)
             times.push_back(seconds(*took));
         else
-            ++figures.timeouts;
+            ++result.timeouts;
     }
     if (times.empty())
-        return figures;
+        return result;
     std::sort(times.begin(), times.end());
-    figures.medianSeconds = times[times.size() / 2];
-    figures.worstSeconds = times.back();
-    return figures;
+    result.medianSeconds = times[times.size() / 2];
+    result.worstSeconds = times.back();
+    return result;
 }
 
 ConfigEntries fleetEntries(std::size_t endpoints, std::size_t teams, std::size_t models)
@@ -86,7 +86,7 @@
     return entries;
 }
 
-CostFigures runCost(std::size_t nodes, std::size_t endpoints, std::size_t teams)
+CostResult runCost(std::size_t nodes, std::size_t endpoints, std::size_t teams)
 {
     ControlHarness harness({.nodes = nodes, .loss = 0.01});
     harness.runFor(std::chrono::seconds(30));
@@ -98,7 +98,7 @@
     harness.timeToVersion(1, std::chrono::seconds(60));
     harness.runFor(std::chrono::seconds(30));
     const auto totals = [&] {
-        CostFigures sum;
+        CostResult sum;
         for (std::size_t i = 0; i < harness.size(); ++i) {
             sum.bytesPerSecond += static_cast<double>(harness.node(i).bytesSent);
             sum.messagesPerSecond += static_cast<double>(harness.node(i).messagesSent);
@@ -106,7 +106,7 @@
         }
         return sum;
     };
-    const CostFigures before = totals();
+    const CostResult before = totals();
     const double cpuBefore = cpuMicros();
     constexpr double Window = 4 * SecondsPerChange;
     for (int i = 0; i < 4; ++i) {
@@ -116,18 +116,18 @@
         harness.runFor(Duration(static_cast<std::int64_t>(SecondsPerChange * 1e6)));
     }
     const double cpu = cpuMicros() - cpuBefore;
-    const CostFigures after = totals();
+    const CostResult after = totals();
     const double perNode = Window * static_cast<double>(nodes);
     return {(after.bytesPerSecond - before.bytesPerSecond) / perNode,
             (after.messagesPerSecond - before.messagesPerSecond) / perNode,
             (after.readsPerSecond - before.readsPerSecond) / Window, cpu / perNode};
 }
 
-DetectionFigures runDetection(std::size_t nodes, bool leaving, double loss)
+DetectionResult runDetection(std::size_t nodes, bool leaving, double loss)
 {
     ControlHarness harness({.nodes = nodes, .loss = loss});
     harness.runFor(std::chrono::seconds(120));
-    DetectionFigures figures;
+    DetectionResult result;
     const std::size_t departed = nodes / 2;
     const std::string name = harness.node(departed).name;
     const MemberState wanted = leaving ? MemberState::Leaving : MemberState::Dead;
@@ -142,17 +142,17 @@
         for (std::size_t i = 0; i < nodes; ++i)
             detectedBy += i != departed && harness.node(i).memberStates[name] == wanted ? 1 : 0;
         const double elapsed = seconds(harness.now() - start);
-        if (detectedBy > 0 && figures.firstSeconds == 0)
-            figures.firstSeconds = elapsed;
-        figures.allSeconds = elapsed;
+        if (detectedBy > 0 && result.firstSeconds == 0)
+            result.firstSeconds = elapsed;
+        result.allSeconds = elapsed;
         if (elapsed > 120)
             break;
     }
     for (std::size_t i = 0; i < nodes; ++i) {
         for (const auto &[other, state] : harness.node(i).memberStates)
-            figures.falseDeaths += other != name && state == MemberState::Dead ? 1 : 0;
+            result.falseDeaths += other != name && state == MemberState::Dead ? 1 : 0;
     }
-    return figures;
+    return result;
 }
 
 } // namespace balsamloft::bench
--- a/src/bench/controlscenarios.h
+++ b/src/bench/controlscenarios.h
@@ -19,17 +19,17 @@
     std::size_t seeds = 10;
 };
 
-struct PropagationFigures
+struct PropagationResult
 {
     double medianSeconds = 0; ///< until the change is active on all nodes
     double worstSeconds = 0;
     std::size_t timeouts = 0; ///< runs in which a change took more than a minute
 };
 
-PropagationFigures runPropagation(const PropagationScenario &scenario);
+PropagationResult runPropagation(const PropagationScenario &scenario);
 
 /// Cost of the control plane at a rate of 2,500 configuration changes per day.
-struct CostFigures
+struct CostResult
 {
     double bytesPerSecond = 0; ///< payload that each node sends in the peer protocol
     double messagesPerSecond = 0;
@@ -37,17 +37,17 @@
     double cpuMicrosPerSecond = 0; ///< CPU time per node; depends on the machine
 };
 
-CostFigures runCost(std::size_t nodes, std::size_t endpoints, std::size_t teams);
+CostResult runCost(std::size_t nodes, std::size_t endpoints, std::size_t teams);
 
 /// Detection of a member that crashed or is leaving.
-struct DetectionFigures
+struct DetectionResult
 {
     double firstSeconds = 0; ///< until the first other member marks it dead (or leaving)
     double allSeconds = 0; ///< until all other members have marked it
     std::size_t falseDeaths = 0; ///< reports by any member that a live member is dead
 };
 
-DetectionFigures runDetection(std::size_t nodes, bool leaving, double loss);
+DetectionResult runDetection(std::size_t nodes, bool leaving, double loss);
 
 /// Returns the configuration entries of a fleet of the given size.
 ConfigEntries fleetEntries(std::size_t endpoints, std::size_t teams, std::size_t models);
--- a/src/bench/layeremulator_test.cpp
+++ b/src/bench/layeremulator_test.cpp
@@ -63,13 +63,13 @@
 /// have restarted, relative to the same share without crashes.
 double recoveredShare(EmulationSettings settings)
 {
-    constexpr std::size_t RecoverySeconds = 15; ///< seconds of traffic
+    constexpr std::size_t RecoverySeconds = 15; ///< from the start of the traffic
     settings.length = std::chrono::seconds(RecoverySeconds + 7);
     settings.failureDuration = std::chrono::milliseconds(3500);
-    const double undisturbed = emulate(settings).onTimeShareFrom(RecoverySeconds);
+    const double withoutCrashes = emulate(settings).onTimeShareFrom(RecoverySeconds);
     for (const int millis : {5000, 5600, 6400})
         settings.firstEngineFailures.push_back(std::chrono::milliseconds(millis));
-    return emulate(settings).onTimeShareFrom(RecoverySeconds) / undisturbed;
+    return emulate(settings).onTimeShareFrom(RecoverySeconds) / withoutCrashes;
 }
 
 constexpr double MinRecoveredShare = 0.97;
--- a/src/bench/policy_bench.cpp
+++ b/src/bench/policy_bench.cpp
@@ -12,7 +12,7 @@
 constexpr const char *PolicyNames[] = {"default", "random", "round robin", "least loaded",
                                        "best of two"};
 
-LoadScenario fleetOf(bool large)
+LoadScenario fleetScenario(bool large)
 {
     LoadScenario scenario;
     if (large) {
@@ -26,66 +26,66 @@
 
 void load(benchmark::State &state)
 {
-    LoadScenario scenario = fleetOf(state.range(2) != 0);
+    LoadScenario scenario = fleetScenario(state.range(2) != 0);
     scenario.policy = static_cast<RoutingPolicy>(state.range(0));
     scenario.load = static_cast<double>(state.range(1)) / 100;
-    LoadFigures figures;
+    LoadResult result;
     for (auto _ : state) // NOLINT(readability-identifier-naming)
-        figures = runLoad(scenario);
+        result = runLoad(scenario);
     state.SetLabel(PolicyNames[state.range(0)]);
-    state.counters["useful"] = figures.usefulFraction;
-    state.counters["of_offered"] = figures.answeredFraction;
-    state.counters["median_s"] = figures.medianSeconds;
-    state.counters["p95_s"] = figures.p95Seconds;
-    state.counters["bounces"] = figures.unexecutedPerRequest;
-    state.counters["unknown"] = static_cast<double>(figures.refusedOutcomeUnknown);
+    state.counters["useful"] = result.usefulFraction;
+    state.counters["of_offered"] = result.answeredFraction;
+    state.counters["median_s"] = result.medianSeconds;
+    state.counters["p95_s"] = result.p95Seconds;
+    state.counters["bounces"] = result.unexecutedPerRequest;
+    state.counters["unknown"] = static_cast<double>(result.refusedOutcomeUnknown);
 }
 
 void alerts(benchmark::State &state)
 {
-    AlertFigures figures;
+    AlertResult result;
     for (auto _ : state) // NOLINT(readability-identifier-naming)
-        figures = runAlerts(static_cast<std::uint32_t>(state.range(0)), 2, 1);
-    state.counters["idle_steps"] = figures.idleSteps;
-    state.counters["p99_steps"] = figures.p99Steps;
-    state.counters["batch_useful"] = figures.batchFraction;
+        result = runAlerts(static_cast<std::uint32_t>(state.range(0)), 2, 1);
+    state.counters["idle_steps"] = result.idleSteps;
+    state.counters["p99_steps"] = result.p99Steps;
+    state.counters["batch_useful"] = result.batchFraction;
 }
 
 void fairness(benchmark::State &state)
 {
-    FairnessFigures figures;
+    FairnessResult result;
     for (auto _ : state) // NOLINT(readability-identifier-naming)
-        figures = runFairness(static_cast<std::size_t>(state.range(0)), 1);
-    state.counters["modest_loss"] = figures.modestLoss;
-    state.counters["worst_loss"] = figures.worstModestLoss;
-    state.counters["greedy"] = figures.greedyFraction;
-    state.counters["useful"] = figures.usefulFraction;
+        result = runFairness(static_cast<std::size_t>(state.range(0)), 1);
+    state.counters["modest_loss"] = result.modestLoss;
+    state.counters["worst_loss"] = result.worstModestLoss;
+    state.counters["greedy"] = result.greedyFraction;
+    state.counters["useful"] = result.usefulFraction;
 }
 
 void prefixes(benchmark::State &state)
 {
-    PrefixFigures figures;
+    PrefixResult result;
     for (auto _ : state) // NOLINT(readability-identifier-naming)
-        figures = runPrefixes(static_cast<RoutingPolicy>(state.range(0)), 1);
+        result = runPrefixes(static_cast<RoutingPolicy>(state.range(0)), 1);
     state.SetLabel(PolicyNames[state.range(0)]);
-    state.counters["hits"] = figures.hitRate;
-    state.counters["oracle"] = figures.oracleHitRate;
+    state.counters["hits"] = result.hitRate;
+    state.counters["oracle"] = result.oracleHitRate;
 }
 
 void recovery(benchmark::State &state)
 {
     static constexpr const char *Names[] = {"killed stage", "frozen stage", "silent connection",
                                             "a third of the engines killed"};
-    RecoveryFigures figures;
+    RecoveryResult result;
     for (auto _ : state) // NOLINT(readability-identifier-naming)
-        figures = runRecovery(static_cast<Fault>(state.range(0)), 1);
+        result = runRecovery(static_cast<Fault>(state.range(0)), 1);
     state.SetLabel(Names[state.range(0)]);
-    state.counters["median_ms"] = figures.medianMillis;
-    state.counters["worst_ms"] = figures.worstMillis;
-    state.counters["prefill_ms"] = figures.prefillMillis;
-    state.counters["whole"] = figures.completeFraction;
-    state.counters["amplification"] = figures.amplification;
-    state.counters["hit"] = static_cast<double>(figures.affectedRequests);
+    state.counters["median_ms"] = result.medianMillis;
+    state.counters["worst_ms"] = result.worstMillis;
+    state.counters["prefill_ms"] = result.prefillMillis;
+    state.counters["whole"] = result.completeFraction;
+    state.counters["amplification"] = result.amplification;
+    state.counters["hit"] = static_cast<double>(result.affectedRequests);
 }
 
 } // namespace
--- a/src/bench/scenarios.cpp
+++ b/src/bench/scenarios.cpp
@@ -118,7 +118,7 @@
 
 } // namespace
 
-LoadFigures runLoad(const LoadScenario &scenario)
+LoadResult runLoad(const LoadScenario &scenario)
 {
     const auto engines = fiveSpeeds(scenario.engines, scenario.slots);
     HarnessSettings settings;
@@ -139,10 +139,10 @@
     });
     harness.run(end + scenario.deadline);
 
-    LoadFigures figures;
+    LoadResult result;
     const std::chrono::duration<double> window = end - start - WarmUp;
-    figures.usefulFraction = usefulTokens(harness, start + WarmUp, end, Priority::Normal)
-                             / (capacity(engines) * window.count());
+    result.usefulFraction = usefulTokens(harness, start + WarmUp, end, Priority::Normal)
+                            / (capacity(engines) * window.count());
     std::vector<double> times;
     std::uint64_t unexecutedAttempts = 0;
     for (const auto &[id, record] : harness.records()) {
@@ -153,18 +153,18 @@
     for (std::size_t i = 0; i < scenario.routers; ++i) {
         const RouterCounters &counters = harness.router(i).counters();
         unexecutedAttempts += counters.unexecutedAttempts;
-        figures.refusedNotExecuted += counters.refusedNotExecuted;
-        figures.refusedOutcomeUnknown += counters.refusedOutcomeUnknown;
+        result.refusedNotExecuted += counters.refusedNotExecuted;
+        result.refusedOutcomeUnknown += counters.refusedOutcomeUnknown;
     }
     const auto offered = static_cast<double>(harness.records().size());
-    figures.answeredFraction = static_cast<double>(times.size()) / offered;
-    figures.unexecutedPerRequest = static_cast<double>(unexecutedAttempts) / offered;
-    figures.medianSeconds = percentile(times, 0.5);
-    figures.p95Seconds = percentile(times, 0.95);
-    return figures;
+    result.answeredFraction = static_cast<double>(times.size()) / offered;
+    result.unexecutedPerRequest = static_cast<double>(unexecutedAttempts) / offered;
+    result.medianSeconds = percentile(times, 0.5);
+    result.p95Seconds = percentile(times, 0.95);
+    return result;
 }
 
-AlertFigures runAlerts(std::uint32_t alertEndpoints, double load, std::uint64_t seed)
+AlertResult runAlerts(std::uint32_t alertEndpoints, double load, std::uint64_t seed)
 {
     std::vector<EngineSettings> engines(10);
     for (EngineSettings &engine : engines) {
@@ -201,9 +201,9 @@
     const Time idleEnd = harness.now() + std::chrono::seconds(3);
     const Arrivals idleAlerts(harness, 20, idleEnd, seed, alert);
     harness.run(idleEnd);
-    AlertFigures figures;
+    AlertResult result;
     auto idle = stepsToFirst(Time {});
-    figures.idleSteps = percentile(idle, 0.5);
+    result.idleSteps = percentile(idle, 0.5);
 
     const Time start = harness.now();
     const Time end = start + std::chrono::seconds(15);
@@ -219,14 +219,14 @@
     const Arrivals alerts(harness, 40, end, seed + 2, alert);
     harness.run(end + std::chrono::seconds(20));
     auto busy = stepsToFirst(start + std::chrono::seconds(4));
-    figures.p99Steps = percentile(busy, 0.99);
-    figures.batchFraction =
+    result.p99Steps = percentile(busy, 0.99);
+    result.batchFraction =
         usefulTokens(harness, start + std::chrono::seconds(4), end, Priority::Batch)
         / (capacity(engines) * 11);
-    return figures;
+    return result;
 }
 
-FairnessFigures runFairness(std::size_t teams, std::uint64_t seed)
+FairnessResult runFairness(std::size_t teams, std::uint64_t seed)
 {
     std::vector<EngineSettings> engines(10);
     for (EngineSettings &engine : engines) {
@@ -272,7 +272,7 @@
         offered += 1;
         answered += record.answer ? 1 : 0;
     }
-    FairnessFigures figures;
+    FairnessResult result;
     double offered = 0;
     double answered = 0;
     for (const auto &[team, counts] : byTeam) {
@@ -280,17 +280,16 @@
             continue;
         offered += counts.first;
         answered += counts.second;
-        figures.worstModestLoss =
-            std::max(figures.worstModestLoss, 1 - counts.second / counts.first);
+        result.worstModestLoss = std::max(result.worstModestLoss, 1 - counts.second / counts.first);
     }
-    figures.modestLoss = 1 - answered / offered;
-    figures.greedyFraction = byTeam["t0"].second / (answered + byTeam["t0"].second);
-    figures.usefulFraction =
+    result.modestLoss = 1 - answered / offered;
+    result.greedyFraction = byTeam["t0"].second / (answered + byTeam["t0"].second);
+    result.usefulFraction =
         usefulTokens(harness, start + WarmUp, end, Priority::Normal) / (capacity(engines) * 18);
-    return figures;
+    return result;
 }
 
-PrefixFigures runPrefixes(RoutingPolicy policy, std::uint64_t seed)
+PrefixResult runPrefixes(RoutingPolicy policy, std::uint64_t seed)
 {
     constexpr std::size_t Prefixes = 400;
     constexpr std::size_t CachedPerEngine = 30;
@@ -341,7 +340,7 @@
     return {hits / prefills, oracleHits / count};
 }
 
-RecoveryFigures runRecovery(Fault fault, std::uint64_t seed)
+RecoveryResult runRecovery(Fault fault, std::uint64_t seed)
 {
     // Four chains of three stages. Fault::LostThird kills 4 of the 12 engines.
     std::vector<EngineSettings> engines(12);
@@ -384,7 +383,7 @@
     }
     harness.run(end + std::chrono::seconds(30));
 
-    RecoveryFigures figures;
+    RecoveryResult result;
     std::vector<double> gaps;
     double answered = 0;
     for (const auto &[id, record] : harness.records()) {
@@ -410,13 +409,13 @@
     for (std::size_t i = 0; i < settings.routers; ++i)
         retries += static_cast<double>(harness.router(i).counters().retries);
     const auto count = static_cast<double>(harness.records().size());
-    figures.completeFraction = answered / count;
-    figures.amplification = 1 + retries / count;
-    figures.affectedRequests = gaps.size();
-    figures.medianMillis = percentile(gaps, 0.5);
-    figures.worstMillis = percentile(gaps, 1);
-    figures.prefillMillis = 3 * 10.4 + 0.1 * 60;
-    return figures;
+    result.completeFraction = answered / count;
+    result.amplification = 1 + retries / count;
+    result.affectedRequests = gaps.size();
+    result.medianMillis = percentile(gaps, 0.5);
+    result.worstMillis = percentile(gaps, 1);
+    result.prefillMillis = 3 * 10.4 + 0.1 * 60;
+    return result;
 }
 
 } // namespace balsamloft::bench
--- a/src/bench/scenarios.h
+++ b/src/bench/scenarios.h
@@ -24,10 +24,9 @@
 };
 
 /// Results of a LoadScenario.
-struct LoadFigures
+struct LoadResult
 {
-    double usefulFraction =
-        0; ///< tokens of complete answers, as a fraction of the engines' capacity
+    double usefulFraction = 0; ///< tokens of complete answers, as a fraction of the capacity
     double answeredFraction = 0; ///< fraction of the offered requests that were answered completely
     double medianSeconds = 0; ///< from submission to completion, of answered requests
     double p95Seconds = 0;
@@ -36,21 +35,20 @@
     std::uint64_t refusedOutcomeUnknown = 0;
 };
 
-LoadFigures runLoad(const LoadScenario &scenario);
+LoadResult runLoad(const LoadScenario &scenario);
 
 /// Latency of alerts while batch work saturates the engines.
-struct AlertFigures
+struct AlertResult
 {
-    double idleSteps =
-        0; ///< median time to first token of alerts on an idle system, in engine steps
+    double idleSteps = 0; ///< median time to first token on an idle system, in engine steps
     double p99Steps = 0; ///< 99th percentile of the same under saturation
     double batchFraction = 0; ///< tokens of complete batch answers, as a fraction of the capacity
 };
 
-AlertFigures runAlerts(std::uint32_t alertEndpoints, double load, std::uint64_t seed);
+AlertResult runAlerts(std::uint32_t alertEndpoints, double load, std::uint64_t seed);
 
 /// One team that exceeds its share (greedy) among teams within theirs (modest).
-struct FairnessFigures
+struct FairnessResult
 {
     double modestLoss = 0; ///< fraction of the modest teams' requests that were not answered
     double worstModestLoss = 0; ///< the same for the modest team with the largest loss
@@ -58,31 +56,30 @@
     double usefulFraction = 0;
 };
 
-FairnessFigures runFairness(std::size_t teams, std::uint64_t seed);
+FairnessResult runFairness(std::size_t teams, std::uint64_t seed);
 
 /// Hit rates of the engines' prefix caches.
-struct PrefixFigures
+struct PrefixResult
 {
     double hitRate = 0;
     double oracleHitRate = 0; ///< of one shared cache as large as all engines' caches together
 };
 
-PrefixFigures runPrefixes(RoutingPolicy policy, std::uint64_t seed);
+PrefixResult runPrefixes(RoutingPolicy policy, std::uint64_t seed);
 
 enum class Fault : std::uint8_t { KilledStage, FrozenStage, SilentConnection, LostThird };
 
 /// Effect of a fault on the callers.
-struct RecoveryFigures
+struct RecoveryResult
 {
     double medianMillis = 0; ///< longest pause between tokens after the fault, of affected requests
     double worstMillis = 0;
     double prefillMillis = 0; ///< prefill time of the new attempt, included in the above
     double completeFraction = 0; ///< fraction of the requests that were answered completely
     double amplification = 0; ///< attempts per request that may have been executed
-    std::size_t affectedRequests =
-        0; ///< requests that were in progress at the fault and needed another attempt
+    std::size_t affectedRequests = 0; ///< in progress at the fault and attempted again
 };
 
-RecoveryFigures runRecovery(Fault fault, std::uint64_t seed);
+RecoveryResult runRecovery(Fault fault, std::uint64_t seed);
 
 } // namespace balsamloft::bench
--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -123,15 +123,15 @@
             return;
         Pending pending = std::move(it->second);
         m_pending.erase(it);
-        if (m_mute > 0) {
+        if (m_answersToSuppress > 0) {
             // Simulates an unresponsive connection: keeping the exchange alive leaves
             // the request unanswered and the connection open.
-            --m_mute;
-            m_silent.push_back(pending.exchange);
+            --m_answersToSuppress;
+            m_unanswered.push_back(pending.exchange);
             return;
         }
-        if (m_cross > 0 && !outcome.failure) {
-            --m_cross;
+        if (m_answersToSwap > 0 && !outcome.failure) {
+            --m_answersToSwap;
             m_mismatched.emplace_back(std::move(pending), std::move(outcome));
             if (m_mismatched.size() == 2) {
                 std::swap(m_mismatched[0].second, m_mismatched[1].second);
@@ -245,9 +245,9 @@
         if (const json::value *leaving = body.if_contains("leaving"))
             m_model.setLeaving(leaving->as_bool());
         if (const json::value *mute = body.if_contains("mute"))
-            m_mute = mute->to_number<int>();
+            m_answersToSuppress = mute->to_number<int>();
         if (const json::value *cross = body.if_contains("cross"))
-            m_cross = cross->to_number<int>();
+            m_answersToSwap = cross->to_number<int>();
         respondJson(exchange, 200, {{"ok", true}});
     }
 
@@ -256,15 +256,15 @@
     boost::asio::steady_timer m_timer;
     boost::asio::steady_timer m_loadTimer;
     std::map<std::uint64_t, Pending> m_pending;
-    std::vector<HttpExchangePtr> m_silent;
+    std::vector<HttpExchangePtr> m_unanswered;
     std::vector<std::pair<Pending, EngineOutcome>> m_mismatched;
     json::array m_orders;
     std::int64_t m_fencing = 0;
     std::uint64_t m_loads = 0;
     bool m_loading = false;
     std::uint64_t m_cancels = 0;
-    int m_mute = 0; ///< number of next answers that are not sent
-    int m_cross = 0; ///< number of next answers that are swapped in pairs
+    int m_answersToSuppress = 0; ///< number of next answers that are not sent
+    int m_answersToSwap = 0; ///< number of next answers that are swapped in pairs
 };
 
 } // namespace
--- a/src/fakes/fake_platform.cpp
+++ b/src/fakes/fake_platform.cpp
@@ -59,7 +59,7 @@
             if (path == "/v1/scan")
                 return scan(exchange);
             if (path == "/v1/instances")
-                return respondJson(exchange, 200, {{"instances", listed()}});
+                return respondJson(exchange, 200, {{"instances", visibleInstances()}});
             if (path.starts_with("/v1/objects/"))
                 return object(exchange, std::string(path.substr(12)));
         } catch (const std::exception &exception) {
@@ -162,11 +162,11 @@
         exchange->respond(std::move(response));
     }
 
-    json::array listed()
+    json::array visibleInstances()
     {
-        while (!m_lists.empty() && m_lists.begin()->first <= now()) {
-            m_instances = std::move(m_lists.begin()->second);
-            m_lists.erase(m_lists.begin());
+        while (!m_pendingLists.empty() && m_pendingLists.begin()->first <= now()) {
+            m_instances = std::move(m_pendingLists.begin()->second);
+            m_pendingLists.erase(m_pendingLists.begin());
         }
         return m_instances;
     }
@@ -175,7 +175,7 @@
     {
         const json::object body = bodyObject(exchange);
         if (path == "/control/instances") {
-            m_lists[now() + std::chrono::milliseconds(FLAGS_list_lag_ms)] =
+            m_pendingLists[now() + std::chrono::milliseconds(FLAGS_list_lag_ms)] =
                 body.at("instances").as_array();
         } else if (path == "/control/faults") {
             if (const json::value *down = body.if_contains("down"))
@@ -204,8 +204,7 @@
     std::map<std::string, std::string> m_objects;
     std::map<std::string, std::string> m_oldObjects; ///< the first version of each object
     json::array m_instances;
-    std::map<Time, json::array>
-        m_lists; ///< pending changes by the time at which they become visible
+    std::map<Time, json::array> m_pendingLists; ///< by the time at which they become visible
     std::string m_loseFrom; ///< if set, only answers to writes to this table are lost
     Duration m_delay {};
     Duration m_holdAnswers {};
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -10,8 +10,8 @@
 
 constexpr Duration TickInterval {50'000};
 constexpr Duration HopDelay {300};
-constexpr Duration StallTimeout {
-    2'500'000}; ///< after which an attempt that waits for a crashed engine fails
+/// Time after which an attempt that waits for a crashed engine fails.
+constexpr Duration StallTimeout {2'500'000};
 constexpr std::uint32_t ChunkTokens = 512;
 constexpr double MaxPauseMs = 2000; ///< a stream with a longer gap counts as truncated
 
@@ -225,9 +225,10 @@
             const std::size_t index = m_byId[order.endpoint];
             const double share = static_cast<double>(order.layers.end - order.layers.begin)
                                  / m_service.model->layers;
-            const bool before = m_now < m_trafficStart;
-            const Duration loads =
-                milliseconds(m_service.model->loadSeconds * 1000 * share * (before ? 0.1 : 1));
+            // Layers load ten times faster before the traffic starts, to shorten the warm-up.
+            const bool beforeTraffic = m_now < m_trafficStart;
+            const Duration loads = milliseconds(m_service.model->loadSeconds * 1000 * share
+                                                * (beforeTraffic ? 0.1 : 1));
             at(loads, [this, index, epoch = m_engines[index].epoch, order] {
                 if (m_engines[index].epoch == epoch)
                     m_engines[index].endpoint.layers = order.layers;
@@ -644,8 +645,8 @@
             m_meanGapsMs.push_back(caller.gapSumMs / double(caller.events - 1));
         const bool onTime = caller.firstMs <= m_settings.targetLatency.count() / 1000.0
                             && caller.longestGapMs <= m_settings.targetEventGap.count() / 1000.0;
-        const bool stayed = std::max(caller.firstMs, caller.longestGapMs) <= MaxPauseMs;
-        (onTime ? m_onTime : stayed ? m_late : m_truncated) += 1;
+        const bool withinMaxPause = std::max(caller.firstMs, caller.longestGapMs) <= MaxPauseMs;
+        (onTime ? m_onTime : withinMaxPause ? m_late : m_truncated) += 1;
         second(caller).onTime += onTime ? 1 : 0;
     }
 
--- a/src/fakes/layeremulator.h
+++ b/src/fakes/layeremulator.h
@@ -31,8 +31,7 @@
     std::uint32_t instancesPerDomain = 3;
     double requestsPerSecond = 80; ///< of all instances together
     Duration length {20'000'000}; ///< of the traffic
-    Duration reportInterval {
-        1'000'000}; ///< between reports of the engines' states to the instances
+    Duration reportInterval {1'000'000}; ///< between engine state reports to instances
     Duration reportLag {200'000}; ///< from the state of an engine to its receipt
     Duration failureInterval {0}; ///< between crashes of random engines; 0: no crashes
     Duration failureDuration {4'000'000}; ///< from a crash to the restart
@@ -69,11 +68,10 @@
     double medianFirstEventMs = 0;
     double p99FirstEventMs = 0;
     double medianGapMs = 0; ///< median over streams of their mean gap between events
-    double medianRecoveryMs =
-        0; ///< from an engine's crash to the next event of an interrupted stream
+    double medianRecoveryMs = 0; ///< from a crash to the next event of an interrupted stream
 
-    std::vector<EmulatedSecond>
-        seconds; ///< by the second of the traffic in which requests were submitted
+    /// Indexed by the second of the traffic in which the requests were submitted.
+    std::vector<EmulatedSecond> seconds;
 
     double onTimeShare() const { return requests ? static_cast<double>(onTime) / requests : 0; }
 
@@ -91,7 +89,8 @@
 /// Reference fleet: 33 engines in 3 domains, 9 instances, 80 requests per second.
 EmulationSettings referenceFleet();
 
-/// Four domains of 20 instances and 86 engines; each instance has few requests of its own.
+/// Four domains with 80 instances and 86 engines in total; each instance has only
+/// about 4 requests per second.
 EmulationSettings grownFleet();
 
 /// Five domains with 295 instances, about 1.7 requests per second each, and
