--- a/src/fakes/fake_platform.cpp
+++ b/src/fakes/fake_platform.cpp
@@ -1,4 +1,4 @@
-// A stand-in platform: transactional tables, objects, a lagging instance list.
+// A stand-in platform: transactional tables, objects and a delayed instance list.
 //
 //   POST /v1/transact  {"checks": [...], "writes": [...]}
 //   POST /v1/read      {"table", "key"}
@@ -7,7 +7,8 @@
 //   GET  /v1/instances
 //   POST /control/instances {"instances": [...]}
 //   POST /control/faults    {"down": bool, "lose_answers": N, "delay_ms": N,
-//                            "hold_answers_ms": N, "old_objects": bool}
+//                            "lose_from": TABLE, "hold_answers_ms": N,
+//                            "old_objects": bool}
 //   GET  /control/stats
 
 #include "fakeprocess.h"
@@ -17,7 +18,7 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(listen, "127.0.0.1:0", "address to listen on");
-DEFINE_int32(list_lag_ms, 0, "how late the instance list shows a change");
+DEFINE_int32(list_lag_ms, 0, "delay until a change appears in the instance list in milliseconds");
 
 namespace json = boost::json;
 
@@ -58,7 +59,7 @@
             if (path == "/v1/scan")
                 return scan(exchange);
             if (path == "/v1/instances")
-                return respondJson(exchange, 200, {{"instances", listed()}});
+                return respondJson(exchange, 200, {{"instances", visibleInstances()}});
             if (path.starts_with("/v1/objects/"))
                 return object(exchange, std::string(path.substr(12)));
         } catch (const std::exception &exception) {
@@ -92,7 +93,7 @@
         }
         if (m_holdAnswers == Duration::zero())
             return answerTransaction(exchange, outcome);
-        // The write has taken effect; only its answer is late.
+        // The transaction is already applied; only its answer is delayed.
         auto timer = std::make_shared<boost::asio::steady_timer>(m_context, m_holdAnswers);
         timer->async_wait([timer, exchange, outcome](boost::system::error_code) {
             answerTransaction(exchange, outcome);
@@ -161,11 +162,11 @@
         exchange->respond(std::move(response));
     }
 
-    json::array listed()
+    json::array visibleInstances()
     {
-        while (!m_lists.empty() && m_lists.begin()->first <= now()) {
-            m_instances = std::move(m_lists.begin()->second);
-            m_lists.erase(m_lists.begin());
+        while (!m_pendingLists.empty() && m_pendingLists.begin()->first <= now()) {
+            m_instances = std::move(m_pendingLists.begin()->second);
+            m_pendingLists.erase(m_pendingLists.begin());
         }
         return m_instances;
     }
@@ -174,7 +175,7 @@
     {
         const json::object body = bodyObject(exchange);
         if (path == "/control/instances") {
-            m_lists[now() + std::chrono::milliseconds(FLAGS_list_lag_ms)] =
+            m_pendingLists[now() + std::chrono::milliseconds(FLAGS_list_lag_ms)] =
                 body.at("instances").as_array();
         } else if (path == "/control/faults") {
             if (const json::value *down = body.if_contains("down"))
@@ -201,10 +202,10 @@
     boost::asio::io_context &m_context;
     TableModel m_tables;
     std::map<std::string, std::string> m_objects;
-    std::map<std::string, std::string> m_oldObjects; ///< the first content of each
+    std::map<std::string, std::string> m_oldObjects; ///< the first version of each object
     json::array m_instances;
-    std::map<Time, json::array> m_lists; ///< not shown yet
-    std::string m_loseFrom; ///< only answers to writes of this table are lost
+    std::map<Time, json::array> m_pendingLists; ///< by the time at which they become visible
+    std::string m_loseFrom; ///< if set, only answers to writes to this table are lost
     Duration m_delay {};
     Duration m_holdAnswers {};
     int m_loseAnswers = 0;
