--- a/scripts/safeguards.py
+++ b/scripts/safeguards.py
@@ -273,7 +273,7 @@
      "return endpointCount < flight.request.route->maxAttempts;", "return endpointCount < 1000;",
      "relay_test: a request runs at no more endpoints than its route allows"),
     ("pauses of the process", "src/libbalsamloft/relaywatch.cpp",
-     "if (m_lastTick != Time {} && pause > m_settings.maxTickGap)", "if (false)",
+     "if (m_lastTick != Time {} && pause > m_settings.maxTickInterval)", "if (false)",
      "relay_test: a pause of the process is not counted as a pause of its streams"),
     ("checked before complete requests are sent", "src/libbalsamloft/relay.cpp",
      "return endpoint && !endpoint->draining;", "return true;",
@@ -281,7 +281,7 @@
     ("pauses grow with consecutive refusals", "src/libbalsamloft/enginetracker.cpp",
      "exponentialBackoff(m_settings.initialBusyPause, each.consecutiveRefusals,\n"
      "                                            m_settings.maxBusyPause)", "m_settings.initialBusyPause",
-     "relay_test: an engine that rejects repeatedly is left out for longer each time"),
+     "relay_test: an engine that rejects repeatedly is avoided for longer each time"),
     ("entries that expired in an outage are kept", "src/libbalsamloft/enginefleet.cpp",
      "if (recovering && !it->second.endpoint.draining) {", "if (false) {",
      "replicatedstate_test: entries that expire in an outage of the list are kept for the recovery time"),
--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -102,7 +102,7 @@
     after(m_settings.updateDelay, [this] { distribute(); });
 }
 
-/// All layers, or for CrashKind::CrashesMiddle one half in turn.
+/// All layers, or alternately the lower and upper half for CrashKind::CrashesMiddle.
 LayerRange CrashSimulation::layersOf(std::size_t number) const
 {
     if (m_settings.crashKind != CrashKind::CrashesMiddle)
@@ -199,8 +199,9 @@
     caller.eventsLeft = static_cast<std::uint64_t>(between(10, 40).count());
     m_harmless.sent += 1;
     submit(pick(m_settings.instances), std::move(caller));
-    std::exponential_distribution<double> gap(m_settings.requestsPerSecond);
-    after(Duration(static_cast<std::int64_t>(1'000'000 * gap(m_random))), [this] { arrive(); });
+    std::exponential_distribution<double> interval(m_settings.requestsPerSecond);
+    after(Duration(static_cast<std::int64_t>(1'000'000 * interval(m_random))),
+          [this] { arrive(); });
 }
 
 void CrashSimulation::arriveCrashing()
@@ -368,7 +369,8 @@
         after(NetworkDelay * 2, [this, run] { reject(run); });
 }
 
-/// Time until the engine has prefilled a request that arrives now; nothing if it rejects it.
+/// Time until the engine has prefilled a request that arrives now; nothing if it rejects
+/// the request.
 std::optional<Duration> CrashSimulation::timeToStart(Engine &engine)
 {
     if (m_settings.prefillTime == Duration {})
@@ -392,7 +394,7 @@
     });
 }
 
-/// The caller leaves if no event arrived since \a eventsLeft events were left.
+/// Disconnects the caller if no event has arrived since \a eventsLeft events were outstanding.
 void CrashSimulation::leaveIfIdle(std::size_t instance, FlightId flight, std::uint64_t eventsLeft)
 {
     const auto caller = m_callers[instance].find(flight);
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -26,19 +26,19 @@
     std::size_t instances = 6;
     std::size_t domains = 3;
     std::size_t enginesPerDomain = 4;
-    double requestsPerSecond = 60; ///< harmless ones, each with different content
+    double requestsPerSecond = 60; ///< harmless requests, each with different content
     Duration crashingInterval {4'000'000}; ///< between two arrivals of the crashing request
     Duration crashingUntil {60'000'000};
-    Duration harmlessFor {0}; ///< until then the crashing request succeeds like others
-    Duration crashingLifetime {3'600'000'000}; ///< then another crashing request replaces it
-    std::size_t crashingCopies = 1; ///< that arrive together at different instances
+    Duration harmlessFor {0}; ///< initial time in which the crashing request succeeds
+    Duration crashingLifetime {3'600'000'000}; ///< after this, another crashing request replaces it
+    std::size_t crashingCopies = 1; ///< copies that arrive together at different instances
     RequestKind crashingKind = RequestKind::Stream;
     CrashKind crashKind = CrashKind::CrashesFirst;
     std::uint32_t crashingRetries = 0; ///< of its caller, after a refusal
     /// Time to prefill one prompt, one after another; 0: in parallel, up to 0.4 s each.
     Duration prefillTime {0};
     Duration maxWait {4'000'000}; ///< an engine with a longer queue rejects requests
-    Duration patience {2'000'000}; ///< callers leave after this long without an event
+    Duration patience {2'000'000}; ///< time without an event after which callers disconnect
     Duration delistDelay {2'900'000}; ///< from the crash of an engine until it is delisted
     Duration restartDelay {3'000'000}; ///< until another engine replaces a crashed one
     Duration silenceReportDelay {1'200'000}; ///< until a domain's reader reports a hung engine
@@ -63,9 +63,9 @@
     /// Crashes a random engine that runs a request.
     void crashAnyEngine();
 
-    /// Gives the crashing request and \a others harmless ones the same crash records: three
-    /// engines, just now, known to all instances. The callers of the harmless requests retry
-    /// until they are served.
+    /// Adds the same crash records for the crashing request and \a others harmless requests, and
+    /// shares them with all instances: three engines that crashed now. The callers of the
+    /// harmless requests retry until they are served.
     void addSuspects(std::size_t others);
 
     /// Replaces all instances by new processes without state.
@@ -77,8 +77,8 @@
     /// requests, by the one with the most crashes.
     std::vector<Time> crashes() const;
 
-    /// Sends of a crashing request to live or crashed engines, later than \a after its third
-    /// crash; the maximum over all such requests.
+    /// How often a crashing request was sent to a live or crashed engine more than \a after its
+    /// third crash; the maximum over all crashing requests.
     std::size_t sendsAfterThirdCrash(Duration after) const;
 
     /// Outcomes of the harmless requests.
@@ -93,7 +93,8 @@
     };
     const Harmless &harmless() const { return m_harmless; }
 
-    /// Times from addSuspects() until its harmless requests were served, for those that were.
+    /// Times from addSuspects() until each of its harmless requests was served. Requests that
+    /// were not served are omitted.
     const std::vector<Duration> &waits() const { return m_waits; }
 
 private:
@@ -106,7 +107,7 @@
         bool crashed = false;
         bool hangs = false;
         bool listed = true;
-        Time busyUntil {}; ///< with prompts that arrived so far
+        Time busyUntil {}; ///< end of the prefill of all prompts received so far
     };
 
     /// An attempt on an engine.
--- a/src/fakes/relayharness.h
+++ b/src/fakes/relayharness.h
@@ -30,8 +30,8 @@
     FlightId submit(RequestKind kind, Duration timeLeft = Duration(20'000'000),
                     std::string digest = {});
 
-    /// Sets the instances that share the endpoints; \a self is the name of this one. Its clock is
-    /// \a clockBehind behind the clock that they share.
+    /// Sets the instances that share the endpoints; \a self is the name of this one. \a
+    /// clockBehind: how far this instance's clock is behind the common clock of the instances.
     void setInstances(const std::vector<PeerInstance> &instances, const std::string &self,
                       Duration clockBehind = {});
 
--- a/src/include/balsamloft/enginefleet.h
+++ b/src/include/balsamloft/enginefleet.h
@@ -62,7 +62,7 @@
 
 using FleetPtr = std::shared_ptr<const FleetSnapshot>;
 
-/// Settings of a FleetTracker.
+/// Times after which entries of the list expire or are removed.
 struct FleetSettings
 {
     /// Time in which entries that expired during an outage of the list are written again.
@@ -95,7 +95,7 @@
     /// The entry under \a name was deleted, or is no valid endpoint any more.
     void dropped(std::string_view name, Time now);
 
-    /// The known state of the list was current at \a now.
+    /// The last received state of the list was still current at \a now.
     void listConfirmed(Time now);
 
     /// Removes entries that were not written again in time after an outage.
@@ -120,7 +120,7 @@
     Duration minOutage() const;
     bool isOutdated(const FleetEndpoint &endpoint) const;
     void removeOldStarts(Time now);
-    void disappeared(std::map<std::string, Entry, std::less<>>::iterator it, Time now);
+    void removeOrDelay(std::map<std::string, Entry, std::less<>>::iterator it, Time now);
 
     FleetSettings m_settings;
     /// The latest known start of a process under a name.
--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -12,15 +12,15 @@
 
 namespace balsamloft {
 
-/// Settings of an EngineTracker.
+/// How long an EngineTracker uses its observations of endpoints.
 struct EngineTrackerSettings
 {
-    Duration suspectDuration {4'000'000}; ///< an unresponsive endpoint is not used this long
-    Duration initialBusyPause {150'000}; ///< an endpoint that refused is not used this long
+    Duration suspectDuration {4'000'000}; ///< how long an unresponsive endpoint is not used
+    Duration initialBusyPause {150'000}; ///< how long an endpoint is not used after a first refusal
     Duration maxBusyPause {2'400'000}; ///< the pause doubles with each refusal up to this
-    Duration slowdownLifetime {3'000'000}; ///< a reported slowdown is used this long
+    Duration slowdownLifetime {3'000'000}; ///< how long a reported slowdown is used
     Duration failureHalfLife {3'000'000};
-    Duration reportLifetime {2'500'000}; ///< a load report is used this long
+    Duration reportLifetime {2'500'000}; ///< how long a load report is used
     /// Interval at which engines are queried. A state that is confirmed as unchanged this long
     /// after a request was sent includes that request.
     Duration reportInterval {1'000'000};
@@ -42,7 +42,8 @@
 struct EngineReports
 {
     std::vector<EngineState> changed;
-    /// By domain: the time at which all its other engines were still in the state sent before.
+    /// By domain: the time at which the domain's engines that are not in \a changed were still
+    /// in the previously sent state.
     std::map<std::string, Time> asOf;
 };
 
@@ -50,7 +51,7 @@
 /// \a kvCapacity: the engine's KV memory, in tokens times layers.
 bool differsNoticeably(const EngineState &before, const EngineState &now, double kvCapacity);
 
-/// What is recorded of one endpoint. Requests of this instance are "own" requests.
+/// Recorded load, health and speed of one endpoint. Requests of this instance are "own" requests.
 struct EngineEstimate
 {
     std::uint32_t ownRequests = 0; ///< on the endpoint now
--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -11,7 +11,7 @@
 
 namespace balsamloft {
 
-/// Settings of a GapFiller.
+/// Delays and headroom of a GapFiller.
 struct GapFillerSettings
 {
     /// How long a gap lasts before it is closed: less than loading layers takes, and longer
@@ -35,8 +35,8 @@
 /// and while the store is unavailable. An order that is carried out late may undo a newer
 /// one; memory is not exceeded even then, and the gap is closed again.
 ///
-/// Covers the crash of an engine that was the only holder of its layers, after which the
-/// domain has no complete path. A move has to wait 3 to 10 s for the requests that use the
+/// Needed after the crash of an engine that was the only holder of its layers, which leaves
+/// the domain without a complete path. A move has to wait 3 to 10 s for the requests that use the
 /// released layers; an addition loads a few layers in one or two seconds. While engines
 /// crash and the lease or the store is unavailable, this gains 0.015 of the total value of
 /// the callers' requests; otherwise it gains nothing.
@@ -50,7 +50,7 @@
         LayerRange layers;
         std::uint32_t maxLayers = 0; ///< that fit its memory
         bool available = true; ///< may get an order now
-        /// Layers that it takes if it is empty and the gap has fewer.
+        /// Layers that the engine loads if it is empty and the gap has fewer.
         std::uint32_t preferredLayers = 0;
 
         std::uint32_t spareLayers() const;
--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -13,7 +13,7 @@
 
 namespace balsamloft {
 
-/// Settings of a LayerPlanner.
+/// Headroom, delays and thresholds of a LayerPlanner.
 struct LayerPlannerSettings
 {
     /// Memory that a replica's engines have beyond the model's size, as a share of that size.
@@ -25,10 +25,10 @@
     /// engines register: a plan for only some of them would mix slow and fast engines in one
     /// replica.
     Duration startupDelay {1'450'000};
-    Duration gapDelay {700'000}; ///< before moves close a gap: it may close by itself
-    /// The same for a gap that additions can close (GapFiller): they need no lease, start at
-    /// once and take a second or two. Other gaps get the shorter gapDelay, because waiting
-    /// this long for them costs 0.020 of the total value of the callers' requests.
+    Duration gapDelay {700'000}; ///< before moves close a gap, which may close without them
+    /// Delay before moves close a gap that additions by a GapFiller can close. Additions need no
+    /// lease, start at once and take a second or two. Other gaps get the shorter gapDelay, because
+    /// waiting this long for them costs 0.020 of the total value of the callers' requests.
     Duration additionDelay {3'000'000};
     /// Time after which a gap that moves don't close leads to a new plan for the domain. Such
     /// a plan moves many engines at once, and none of them serves requests meanwhile. Moves
--- a/src/include/balsamloft/loadview.h
+++ b/src/include/balsamloft/loadview.h
@@ -28,7 +28,7 @@
 /// Settings of the load and health decisions.
 struct LoadSettings
 {
-    Duration reportLifetime {2'000'000}; ///< reported load of other instances is used this long
+    Duration reportLifetime {2'000'000}; ///< how long reported load of other instances is used
     Duration reportLag {1'000'000}; ///< longest time that a report takes to arrive
     Duration initialBusyPause {50'000}; ///< after a refusal, until more requests are sent
     Duration maxBusyPause {1'000'000}; ///< the pause doubles with each refusal up to this
@@ -48,7 +48,7 @@
     double speed = 1;
     bool configured = false; ///< part of the current configuration
     bool leaving = false; ///< known to be shutting down: gets no new requests
-    bool reportedLeaving = false; ///< the endpoint reported it; probes may reset it
+    bool reportedLeaving = false; ///< the endpoint reported its shutdown; a probe may reset this
     std::uint32_t ownRequests = 0; ///< on the endpoint now
     std::uint32_t otherRequests = 0; ///< of other instances, by the last report
     std::uint32_t ownPeak = 0; ///< most own requests in the current half of the report window
@@ -67,7 +67,7 @@
     double prefixHitRate = 0.3; ///< share of affinity choices that hit, smoothed
     std::uint32_t consecutiveFailures = 0;
     std::uint32_t ejections = 0; ///< consecutive, for the backoff
-    bool ejected = false; ///< until a probe is answered
+    bool ejected = false; ///< until a probe is answered or a request succeeds
     Time probeAt {}; ///< time of the next probe
 };
 
@@ -122,7 +122,8 @@
     /// of other instances if the report is recent enough.
     std::uint32_t estimatedLoad(EndpointId id, Time now) const;
 
-    /// The same with an unbiased estimate of other instances' requests, to compare endpoints.
+    /// Like estimatedLoad(), but with an unbiased estimate of other instances' requests, to
+    /// compare endpoints.
     double expectedLoad(EndpointId id, Time now) const;
 
     /// The smoothed round trip, decaying with time so that a link that was slow is tried again.
--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -30,7 +30,7 @@
     bool full = false; ///< an engine of the path exceeds the permitted fullness
 };
 
-/// Settings of a PathChooser.
+/// Weights and limits of the cost of a path.
 struct PathSettings
 {
     double hopMs = 0.6; ///< added to each token by each further engine
@@ -41,10 +41,10 @@
     double otherDomainPenaltyMs = 40; ///< added to the cost of such paths
     /// Cost of each change of domain inside a path, in addition to the transfer time. Where
     /// each domain holds one replica of the model, the loss of one engine leaves its domain
-    /// without a complete path. Two crossings use the missing layers of another domain, and
-    /// the domain's other engines stay in use. This gains 0.643 of the requests' value,
-    /// against 0.634 without crossings.
-    double crossingPenaltyMs = 200;
+    /// without a complete path. With two changes of domain, a path runs the missing layers in
+    /// another domain, and the domain's other engines stay in use. This gains 0.643 of the
+    /// requests' value, against 0.634 for paths inside one domain only.
+    double domainChangePenaltyMs = 200;
     /// Utilization up to which a link between two domains gets new paths. Transfers are
     /// serialized, so beyond it each one waits for many others. Raising the cost of busier
     /// links instead of excluding them loses 0.029 of the requests' value.
--- a/src/include/balsamloft/placement.h
+++ b/src/include/balsamloft/placement.h
@@ -48,7 +48,7 @@
 {
     double tokensPerSpeed = 100; ///< tokens per second of an engine of speed 1 with all layers
     double scaleUpAbove = 0.8; ///< demand over the replicas' token rate, to add a replica
-    double scaleDownBelow = 0.3; ///< the same to remove one
+    double scaleDownBelow = 0.3; ///< demand over the replicas' token rate, to remove a replica
     Duration scaleDownDelay {300'000'000}; ///< of low demand, before a replica is removed
     Duration scaleToZeroDelay {900'000'000}; ///< without demand, before the last one is removed
     std::uint32_t maxConcurrentLoads = 2; ///< the weight store is rate-limited
--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -35,14 +35,14 @@
 };
 
 /// Whether a request may be sent to endpoints.
-enum class Verdict : std::uint8_t {
+enum class SendPermission : std::uint8_t {
     Allowed,
     TrialOnly, ///< only with a permit, of which the fleet grants one at a time, see TrialPermits
-    Deferred, ///< not now: records of other instances may name another cause of the crashes
+    Deferred, ///< until the records of other instances, which may show another cause, have arrived
     Quarantined,
 };
 
-/// Settings of a Quarantine.
+/// Thresholds, times and limits of a Quarantine.
 struct QuarantineSettings
 {
     /// Crashes that quarantine a request, if no other request explains them.
@@ -50,22 +50,23 @@
     /// Crashes that quarantine a request even if other requests were on the same endpoints, or
     /// it succeeded shortly before.
     std::size_t crashesToForceQuarantine = 5;
-    /// An endpoint that is crashed by a request crashes within this time of starting it, also
-    /// if the request was abandoned meanwhile.
+    /// Maximum time from the start of a request at an endpoint to a crash that the request
+    /// causes there, also if the attempt was abandoned meanwhile.
     Duration crashDelay {200'000};
-    /// An endpoint where a request stalls has been queried by then. A missing answer later than
-    /// that proves nothing.
+    /// The endpoint at which an attempt stalls is queried within this time. A missing answer
+    /// to a later query is no evidence of a crash.
     Duration stallQueryWindow {1'000'000};
-    /// After a crash, the records of all instances have been received by then.
+    /// Time after a crash by which the records of all instances have been received.
     Duration propagationDelay {2'000'000};
     /// Crashes from which a request is only sent as a trial, and attempts without a permit are
-    /// recalled.
+    /// abandoned.
     std::size_t crashesToRequireTrial = 2;
     Duration retention {600'000'000}; ///< how long a crash counts against a request
     /// A single crash is published after this time. Requests that were only on the endpoint by
     /// chance succeed elsewhere before that and need no record.
     Duration publishDelay {500'000};
-    Duration successWindow {10'000'000}; ///< a success this recent speaks for the request
+    /// A success at most this long before a crash is evidence that the request is harmless.
+    Duration successWindow {10'000'000};
     std::size_t maxDigests = 1024; ///< suspected requests stored at a time
     std::size_t maxSuccesses = 1024; ///< recent successes stored
     /// Records that instances publish together. Beyond that, only those of requests with
@@ -113,8 +114,8 @@
     /// reader is in the same domain, so it does not mistake a lost link for a crash.
     void endpointUnresponsive(const std::string &endpoint, Time at);
 
-    /// \a endpoint is no longer listed. Since a partition has the same effect, only attempts
-    /// that the endpoint broke are counted as crashes.
+    /// \a endpoint is no longer listed. A partition also removes endpoints from the list, so
+    /// only attempts that the endpoint broke are counted as crashes.
     void endpointDelisted(const std::string &endpoint, Time now);
 
     /// The request succeeded, which clears all its crashes so far. Later crashes count again:
@@ -138,9 +139,9 @@
     bool awaitsConfirmation(const std::string &digest, Time now) const;
 
     /// Whether the request may be sent to an endpoint.
-    Verdict verdict(const std::string &digest, Time now) const;
+    SendPermission sendPermission(const std::string &digest, Time now) const;
 
-    /// Maximum time until a request that may not be sent now may be sent.
+    /// Maximum time until the request may be sent; zero if it may be sent now.
     Duration blockedFor(const std::string &digest, Time now) const;
 
     /// Endpoints with unconfirmed crashes that a query could confirm or clear now.
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -1,6 +1,7 @@
 /// \file
-/// Forwards complete requests: chooses an endpoint or a path of engines for each attempt,
-/// decides on retries, and decides how each request finishes.
+/// Forwards requests as a whole, in balsamloft-entry: chooses an endpoint or a path of engines
+/// for each attempt, decides on retries, and decides how each request finishes. Where
+/// balsamloftd executes requests step by step on chains of engines, router.h is used instead.
 
 #pragma once
 
@@ -15,7 +16,8 @@
 
 namespace balsamloft {
 
-/// What the relay needs to know of a request. The session of the caller keeps its bytes.
+/// The properties of a request on which the relay's decisions depend. The caller's session
+/// keeps the bytes of the request.
 struct RelayRequest
 {
     std::string id;
@@ -53,19 +55,19 @@
 
 // Actions
 
-/// Send the request, or ask for the rest of its stream, at an endpoint.
+/// Send the request to an endpoint, or request the rest of its stream there.
 struct SendRequest
 {
     FlightId flight = 0;
     std::uint32_t attempt = 0;
     std::string endpoint; ///< id
-    std::string name; ///< under which the endpoint is listed and which it expects in requests
+    std::string name; ///< in the list of endpoints; the endpoint expects it in requests
     std::string address;
     std::vector<PathPart> path; ///< empty for a plain endpoint
     Duration timeLeft {};
     std::optional<std::uint64_t> afterEvent; ///< resume the stream after this event
     bool freshConnection = false;
-    std::string reason; ///< for the log: why there is another attempt
+    std::string reason; ///< for the log: why the attempt is made
 };
 
 /// Abandon an attempt: close its connection and discard further data from it.
@@ -151,36 +153,39 @@
                  PublishCrashes, RequestTrial, FinishTrial>;
 using RelayActions = std::vector<RelayAction>;
 
-/// Settings of a Relay.
+/// Retry budget, timeouts and limits of a Relay.
 struct RelaySettings
 {
     std::string domain; ///< of this instance
-    double retryRatio = 0.15; ///< retries for each request of this instance
-    double retrySlack = 20; ///< further retries in a window, shared by all instances
+    double retryRatio = 0.15; ///< permitted retries per request of this instance
+    double retrySlack = 20; ///< additional retries per window, shared by all instances
     Duration retryWindow {10'000'000};
     double streamReserve = 0.5; ///< share of the slack reserved for started streams
-    Duration queryAfterPause {250'000}; ///< shortest pause after which an engine is queried
-    double queryAfterGaps = 4; ///< the same as a multiple of the expected pause
+    /// Shortest pause of a stream after which its engine is queried.
+    Duration queryAfterPause {250'000};
+    double queryAfterPauses = 4; ///< the same, as a multiple of the expected pause
     Duration queryInterval {350'000}; ///< minimum time between two queries to one engine
     Duration suspectPause {120'000}; ///< pause that moves a stream off a suspected engine
     Duration startTimeout {1'700'000}; ///< until the first event; then the request is moved
-    Duration stallTimeout {1'200'000}; ///< pause that moves a stream without a suspected engine
-    /// How long a request without events waits for a path, if it may have run before.
+    Duration stallTimeout {1'200'000}; ///< pause that moves a stream if no engine is suspected
+    /// How long a request waits for a path if it may have run already but has no events.
     Duration rerunTimeout {1'700'000};
-    /// How long a started stream waits for a path. Callers leave after a pause of two seconds
-    /// or more; a stream truncated a few tenths earlier is lost to a caller that still waits.
+    /// How long a started stream waits for a path. Callers disconnect after a pause of two
+    /// seconds or more. Truncating a stream even a few tenths of a second before its caller
+    /// disconnects would lose an answer that may still be resumed.
     Duration resumeTimeout {2'500'000};
     std::uint32_t maxPathChanges = 4; ///< per attempt
     Duration pathChangeTimeout {700'000}; ///< for the answer to an order to change the path
-    Duration callAttemptTimeout {400'000}; ///< then an idempotent call is sent elsewhere
-    double callWaitShare = 0.12; ///< wait for an endpoint, as a share of the target latency
+    Duration callAttemptTimeout {400'000}; ///< then an idempotent call is sent to another endpoint
+    double callWaitShare = 0.12; ///< longest wait for an endpoint, as a share of the target latency
     double streamWaitShare = 1.6; ///< the same for a stream that waits for a path
-    Duration maxTickGap {300'000}; ///< a longer gap between ticks means the process was paused
+    Duration maxTickInterval {300'000}; ///< a longer interval means that the process was paused
     Duration retryAfter {700'000}; ///< mean delay that refused callers are given
-    std::uint32_t extraSends = 2; ///< sends beyond maxAttempts, if not executed
+    std::uint32_t extraSends = 2; ///< sends beyond maxAttempts, for attempts that were not executed
     /// A request that produces events on one endpoint for this long is not the cause of crashes.
     Duration harmlessAfter {1'000'000};
-    Duration trialRetryInterval {200'000}; ///< after a trial was refused for a busy endpoint
+    /// Wait before the next request for a permit after one was refused for a busy endpoint.
+    Duration trialRetryInterval {200'000};
     /// Cost noise for requests interrupted by a crash. It spreads them over the endpoints: if
     /// all went to the same one, the request that causes crashes could not be identified.
     double rerouteSpread = 1;
@@ -236,7 +241,7 @@
                      std::string_view faultyAddress, Time now, RelayActions &actions);
 
     /// An engine answered a QueryEngine; \a stalledAt lists the addresses of engines that do
-    /// not answer it.
+    /// not answer the queried engine.
     void queryAnswered(const std::string &endpoint, const std::vector<std::string> &stalledAt,
                        double slowdown, Time now, RelayActions &actions);
 
@@ -244,7 +249,7 @@
     void queryFailed(const std::string &endpoint, Time now, RelayActions &actions,
                      bool refused = false);
 
-    /// The endpoint sent any answer to a query that was sent at \a queriedAt.
+    /// The endpoint answered a query that was sent at \a queriedAt, whatever the answer.
     void endpointAnswered(const std::string &endpoint, Time queriedAt)
     {
         m_quarantine.endpointAnswered(endpoint, queriedAt);
@@ -269,7 +274,8 @@
     void setInstances(std::size_t inDomain, std::size_t all, Time now);
 
     /// Sets the instances that share the rate limits of endpoints; \a self is the name of this
-    /// one. \a clockOffset is the clock that they share minus the clock of \a now.
+    /// instance. \a clockOffset: the common clock of the instances minus the clock that \a now
+    /// was read from.
     void shareLimits(std::span<const PeerInstance> all, const std::string &self,
                      Duration clockOffset, Time now);
 
@@ -300,7 +306,7 @@
 
         State state = State::None;
         std::string endpoint; ///< first endpoint of the trial
-        std::optional<PathPart> first; ///< the same with its layers, for a layered model
+        std::optional<PathPart> first; ///< the first endpoint with its layers, for a layered model
         Time requestedAt {};
         Time until {}; ///< expiry of the permit
         std::set<std::string> busyEndpoints; ///< with a trial of another request
@@ -319,7 +325,7 @@
         std::string endpoint; ///< first engine or plain endpoint
         std::string domain;
         Time sentAt {};
-        Time progressAt {}; ///< of the last event, or of the send
+        Time progressAt {}; ///< time of the last event, or of the send if there was none
         Duration expectedEventInterval {};
         Duration expectedFirstEvent {};
         std::optional<Time> pathChangeSentAt; ///< set while a ChangePath is unanswered
@@ -328,7 +334,7 @@
         std::optional<Time> firstEventAt; ///< of the current attempt
         bool provenHarmless = false; ///< ran for harmlessAfter, so it does not cause crashes
         bool failedEarly = false; ///< an endpoint interrupted it before it was provenHarmless
-        bool owesRetry = false; ///< its next send must be paid from the retry budget
+        bool nextSendIsRetry = false; ///< the next send counts against the retry budget
         std::optional<std::uint64_t> lastEvent;
         std::set<std::string> avoid; ///< endpoints where it failed
         Trial trial;
@@ -375,7 +381,7 @@
     bool blockIfSuspected(FlightId id, Flight &flight, Time now, RelayActions &actions);
     void finishBlocked(FlightId id, const Flight &flight, Duration wait, Time now,
                        RelayActions &actions);
-    bool recall(FlightId id, Flight &flight, Time now, RelayActions &actions);
+    bool abandonSuspectedAttempt(FlightId id, Flight &flight, Time now, RelayActions &actions);
     void resolveUnconfirmed(Time now);
     void queryUnconfirmed(Time now, RelayActions &actions);
     void publishCrashes(Time now, RelayActions &actions);
@@ -412,7 +418,8 @@
     FleetPtr m_fleet;
     FlightMap m_flights;
     std::map<std::string, RetryWindow, std::less<>> m_budgets; ///< by service
-    std::deque<std::pair<Time, std::size_t>> m_instanceCounts; ///< in the last window
+    /// Numbers of instances in the last window.
+    std::deque<std::pair<Time, std::size_t>> m_instanceCounts;
     std::map<std::string, Time, std::less<>> m_queriedAt;
     Time m_lastTick {};
     FlightId m_nextFlight = 1;
--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -33,12 +33,13 @@
 /// Whether \a key is the key of a TrialRow; the table also holds crash records.
 bool isTrialKey(std::string_view key);
 
-/// Asks for the permit to run a suspected request on an endpoint.
+/// Requests the permit to run a suspected request on an endpoint.
 struct TrialRequest
 {
     std::string digest; ///< of the request's content
-    std::string endpoint; ///< the first one that would run it
-    bool limited = false; ///< TrialSettings::maxTrials applies: it is almost quarantined
+    std::string endpoint; ///< the first endpoint that would run the request
+    /// Whether TrialSettings::maxTrials applies, because the request is close to quarantine.
+    bool limited = false;
 };
 
 /// Rows to be written in one transaction, provided that they still have the given versions.
@@ -65,13 +66,13 @@
     Inconclusive, ///< the request was rejected, or failed without a crash
 };
 
-/// Settings of TrialPermits.
+/// Lifetimes and limits of trial permits.
 struct TrialSettings
 {
     std::string holder; ///< unique to this process
     Duration validFor {5'000'000}; ///< lifetime of a permit
-    /// After expiry, the time by which a live holder has reported the outcome. It is longer than
-    /// it takes to delist a crashed endpoint, so that a crash is detected.
+    /// Time after the expiry of a permit by which a live holder has reported the outcome. Longer
+    /// than it takes to delist a crashed endpoint, so that the crash is detected.
     Duration margin {5'000'000};
     Duration retention {600'000'000}; ///< see QuarantineSettings
     std::uint32_t maxTrials = 3; ///< per content, if limited
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -170,7 +170,7 @@
     checkBlocked(simulation, settings.instances);
 }
 
-// Guards against copies that are queued at engines while the crashes are detected.
+// Guards against crashes by copies of the request that are queued at engines during detection.
 TEST_CASE("copies of a crashing request at three instances are blocked as soon as a single one")
 {
     CrashSimulationSettings settings;
@@ -195,7 +195,7 @@
     CHECK(simulation.crashes().size() <= MaxCrashes);
 }
 
-// Guards against single attempts at different instances whose crashes are not added up.
+// Guards against crashes that are not added up because each attempt ran at another instance.
 TEST_CASE("a crashing request that may run only once is blocked")
 {
     CrashSimulationSettings settings;
@@ -327,7 +327,8 @@
     CHECK(harness.relay.quarantine().crashes("bad", harness.now) == 0);
 }
 
-// Guards against callers that wait in vain, and against a false claim that nothing was executed.
+// Guards against callers that wait for a quarantined request until they time out, and against
+// answers that falsely state that nothing was executed.
 TEST_CASE("a quarantined request is refused at once as not executed")
 {
     RelayHarness harness(completeEngines());
--- a/src/libbalsamloft/enginefleet.cpp
+++ b/src/libbalsamloft/enginefleet.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// How long the start of a removed process is stored. Updates about it may arrive seconds
-/// late, but not minutes.
+/// How long the start time of a removed process is stored. Updates about the process may arrive
+/// seconds late, but not minutes.
 constexpr Duration StartRetention {120'000'000};
 
 } // namespace
@@ -99,7 +99,7 @@
             std::any_of(endpoints.begin(), endpoints.end(),
                         [&](const auto &each) { return each.name == it->first; });
         if (!stillListed)
-            disappeared(it, now);
+            removeOrDelay(it, now);
         it = next;
     }
     for (FleetEndpoint &each : endpoints)
@@ -151,12 +151,12 @@
     listConfirmed(now);
     const auto it = m_entries.find(name);
     if (it != m_entries.end())
-        disappeared(it, now);
+        removeOrDelay(it, now);
 }
 
-void FleetTracker::disappeared(std::map<std::string, Entry, std::less<>>::iterator it, Time now)
+void FleetTracker::removeOrDelay(std::map<std::string, Entry, std::less<>>::iterator it, Time now)
 {
-    // Entries of running endpoints expired too while the list was down. Removing them at once
+    // While the list was down, entries of running endpoints expired too. Removing them at once
     // would leave no endpoint to route to, so they stay for the time in which endpoints renew
     // their entries. Endpoints that announced their exit don't renew them.
     const bool recovering =
--- a/src/libbalsamloft/enginetracker.cpp
+++ b/src/libbalsamloft/enginetracker.cpp
@@ -201,7 +201,7 @@
     countOwn(each, now);
 }
 
-/// Own requests sent from now on are added to the reported load.
+/// Records the own requests that the report includes, so that load() adds only later ones.
 void EngineTracker::countOwn(EngineEstimate &estimate, Time now)
 {
     estimate.ownCountedAt = now;
--- a/src/libbalsamloft/gapfiller.cpp
+++ b/src/libbalsamloft/gapfiller.cpp
@@ -95,7 +95,8 @@
         orders.back().additive = true;
     };
     if (fromBelowMax + fromAboveMax >= size) {
-        // Both load a share in proportion to their spare layers, which takes less time.
+        // Both neighbours load a share in proportion to their spare layers, which takes less
+        // time than loading the whole gap on one of them.
         const auto share = static_cast<std::uint32_t>(
             std::lround(static_cast<double>(size) * fromBelowMax
                         / static_cast<double>(std::max(1U, fromBelowMax + fromAboveMax))));
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -380,9 +380,9 @@
     return GapFiller::canCloseAllGaps(std::move(engines), model.layers);
 }
 
-/// Whether an empty engine carries out an order that another instance sent. Its future layers
-/// are unknown here. If other engines were moved over the same gap, they would release layers
-/// that are needed.
+/// Whether an empty engine carries out an order that another instance sent. The
+/// layers that it will hold are unknown here. If other engines were moved over the same gap, they
+/// would release layers that are needed.
 bool LayerPlanner::filledByOthers(const Group &group, GroupHistory &history, Time now) const
 {
     const bool filling =
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -81,7 +81,7 @@
     EndpointState &state = m_states[id];
     const std::uint32_t total = report.running + report.waiting;
     // The report may be up to reportLag old, and more of the reported requests may have been
-    // own ones then. Counting own requests that have finished since as those of other
+    // own requests at that time. Counting own requests that have finished since as those of other
     // instances would leave slots empty; the opposite error only costs a refusal.
     updatePeak(state, now);
     const std::uint32_t own = std::max(state.ownPeak, state.previousOwnPeak);
@@ -96,8 +96,8 @@
         state.stepTime =
             Duration(static_cast<std::int64_t>(old > 0 ? smoothed(old, sample) : sample));
     }
-    // Not reset here: a late report from before the announcement must not make the endpoint
-    // usable again. Only the answer to a later probe can.
+    // reportedLeaving is not reset here: a report that was sent before the announcement and
+    // arrives late must not make the endpoint usable again. Only the answer to a later probe can.
     state.reportedLeaving = state.reportedLeaving || report.leaving;
 }
 
@@ -159,8 +159,8 @@
         return false;
     const Duration backoff =
         exponentialBackoff(m_settings.initialEjection, state.ejections, m_settings.maxEjection);
-    // Only a probe ends the ejection. If it ended after some time, callers' requests would
-    // fail each time while the endpoint is still unavailable.
+    // A successful probe or request ends the ejection. If it ended after some time, callers'
+    // requests would fail each time while the endpoint is still unavailable.
     ++state.ejections;
     state.probeAt = std::max(state.probeAt, now + backoff);
     return !std::exchange(state.ejected, true);
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -21,15 +21,15 @@
     double fullness = 0; ///< KV memory of all requests, this one included, over the capacity
     bool full = false;
     bool mayBegin = true; ///< may run the first layers of the path
-    std::size_t domain = 0; ///< index in CrossingCosts
+    std::size_t domain = 0; ///< index in DomainChangeCosts
 };
 
 /// Costs of going from one domain to another inside a path.
-class CrossingCosts
+class DomainChangeCosts
 {
 public:
     /// Numbers the domains of \a candidates.
-    explicit CrossingCosts(std::vector<Candidate> &candidates)
+    explicit DomainChangeCosts(std::vector<Candidate> &candidates)
     {
         for (Candidate &each : candidates) {
             const auto [it, inserted] =
@@ -76,14 +76,15 @@
 {
 public:
     Search(std::vector<Candidate> candidates, const LayeredModel &model, const PathPart *firstPart,
-           double passes, double hopCost, double referenceMs, const CrossingCosts &crossingCosts)
+           double passes, double hopCost, double referenceMs,
+           const DomainChangeCosts &domainChangeCosts)
         : m_candidates(std::move(candidates))
         , m_model(model)
         , m_firstPart(firstPart)
         , m_passes(passes)
         , m_hopCost(hopCost)
         , m_referenceMs(referenceMs)
-        , m_crossingCosts(crossingCosts)
+        , m_domainChangeCosts(domainChangeCosts)
     {
         collectBoundaries();
     }
@@ -158,7 +159,7 @@
     /// the CPU of a small instance busy for tens of milliseconds with a thousand engines.
     void findCheapest(std::size_t boundary)
     {
-        m_cheapest.assign(m_crossingCosts.count(), CheapestTwo {});
+        m_cheapest.assign(m_domainChangeCosts.count(), CheapestTwo {});
         const std::size_t engines = m_candidates.size();
         for (std::size_t last = 0; last < engines; ++last)
             m_cheapest[m_candidates[last].domain].add(
@@ -177,7 +178,8 @@
         for (std::size_t domain = 0; domain < m_cheapest.size(); ++domain) {
             const CheapestTwo &from = m_cheapest[domain];
             PartialPath partial = from.first.candidate == engine ? from.second : from.first;
-            partial.cost += m_hopCost + m_crossingCosts.cost(domain, m_candidates[engine].domain);
+            partial.cost +=
+                m_hopCost + m_domainChangeCosts.cost(domain, m_candidates[engine].domain);
             if (partial.cost < best.cost)
                 best = partial;
         }
@@ -237,7 +239,7 @@
     double m_passes;
     double m_hopCost;
     double m_referenceMs;
-    const CrossingCosts &m_crossingCosts;
+    const DomainChangeCosts &m_domainChangeCosts;
     std::vector<std::uint32_t> m_boundaries;
     std::vector<PartialPath> m_table;
     std::vector<CheapestTwo> m_cheapest; ///< by domain, at the current boundary
@@ -323,13 +325,13 @@
     for (Candidate &each : usable)
         each.factor *= noise(random);
 
-    CrossingCosts crossingCosts(usable);
+    DomainChangeCosts domainChangeCosts(usable);
     const double transferMs = model.transferMs(query.promptTokens);
-    crossingCosts.fill([&](std::string_view from, std::string_view to) {
+    domainChangeCosts.fill([&](std::string_view from, std::string_view to) {
         const double load = tracker.linkLoad(from, to, now);
         if (load >= m_settings.maxLinkLoad)
             return NoCost;
-        return m_settings.crossingPenaltyMs + 2 * transferMs / (1 - load);
+        return m_settings.domainChangePenaltyMs + 2 * transferMs / (1 - load);
     });
     std::map<std::string_view, std::vector<Candidate>> domains;
     for (const Candidate &each : usable)
@@ -338,7 +340,7 @@
     double bestCost = NoCost;
     const auto searchAmong = [&](std::vector<Candidate> engines, double factor, double penalty) {
         Search search(std::move(engines), model, query.firstPart, passes, hopCost,
-                      m_settings.referenceMs, crossingCosts);
+                      m_settings.referenceMs, domainChangeCosts);
         double cost = search.run(false);
         if (cost != NoCost && search.parts().empty())
             cost = search.run(true);
@@ -355,14 +357,14 @@
     for (auto &[domain, engines] : domains)
         searchAmong(std::move(engines), m_settings.otherDomainFactor,
                     m_settings.otherDomainPenaltyMs);
-    // Paths through several domains: one that mostly stays in the own domain puts less load on
-    // the others than a path that lies entirely in another domain.
+    // Paths through several domains: a path that mostly stays in this instance's domain puts less
+    // load on the others than a path that lies entirely in another domain.
     if (!ownFound)
         searchAmong(usable, 1, 0);
     // A path over a busy link is better than none.
     if (!best) {
-        crossingCosts.fill(
-            [&](std::string_view, std::string_view) { return m_settings.crossingPenaltyMs; });
+        domainChangeCosts.fill(
+            [&](std::string_view, std::string_view) { return m_settings.domainChangePenaltyMs; });
         searchAmong(std::move(usable), 1, 0);
     }
     if (!best)
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -31,8 +31,8 @@
         m_digestsByEndpoint.erase(digests);
 }
 
-/// Evicts the oldest request with a single crash if the table is full. So a caller that sends
-/// many different requests to crashing endpoints can neither evict requests with several
+/// Evicts the oldest request with a single crash if the table is full. This way, a caller that
+/// sends many different requests to crashing endpoints can neither evict requests with several
 /// crashes nor prevent new ones from being stored.
 /// \return whether there is space for another request.
 bool Quarantine::ensureSpace()
@@ -275,7 +275,7 @@
 }
 
 /// Whether another request was on the crashed endpoint and has enough crashes to be the cause.
-/// It does not matter which of the two has more crashes: one may be a coincidence.
+/// The numbers of crashes are not compared, since some of the crashes may be coincidences.
 bool Quarantine::explainedByOther(const std::string &digest, const std::string &endpoint,
                                   Time now) const
 {
@@ -341,31 +341,31 @@
     });
 }
 
-Verdict Quarantine::verdict(const std::string &digest, Time now) const
+SendPermission Quarantine::sendPermission(const std::string &digest, Time now) const
 {
     const std::size_t count = crashes(digest, now);
     if (count == 0)
-        return Verdict::Allowed;
+        return SendPermission::Allowed;
     if (deferredFor(digest, now) > Duration {})
-        return Verdict::Deferred;
+        return SendPermission::Deferred;
     const Crashes &records = m_requests.at(digest);
     if (count >= m_settings.crashesToQuarantine && isConfirmedCause(digest, records, now))
-        return Verdict::Quarantined;
+        return SendPermission::Quarantined;
     const bool suspected =
         count >= m_settings.crashesToRequireTrial
         || (observedElsewhere(records, now) && !succeededBefore(digest, records));
-    return suspected ? Verdict::TrialOnly : Verdict::Allowed;
+    return suspected ? SendPermission::TrialOnly : SendPermission::Allowed;
 }
 
 Duration Quarantine::blockedFor(const std::string &digest, Time now) const
 {
-    switch (verdict(digest, now)) {
-    case Verdict::Allowed:
-    case Verdict::TrialOnly:
+    switch (sendPermission(digest, now)) {
+    case SendPermission::Allowed:
+    case SendPermission::TrialOnly:
         return {};
-    case Verdict::Deferred:
+    case SendPermission::Deferred:
         return deferredFor(digest, now);
-    case Verdict::Quarantined:
+    case SendPermission::Quarantined:
         break;
     }
     return lastCrash(digest) + m_settings.retention - now;
@@ -387,7 +387,7 @@
 {
     return static_cast<std::size_t>(
         std::count_if(m_requests.begin(), m_requests.end(), [&](const auto &each) {
-            return verdict(each.first, now) == Verdict::Quarantined;
+            return sendPermission(each.first, now) == SendPermission::Quarantined;
         }));
 }
 
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -26,7 +26,7 @@
 bool isQuarantined(const Quarantine &quarantine, const std::string &digest,
                    Time at = Start + seconds(2))
 {
-    return quarantine.verdict(digest, at) == Verdict::Quarantined;
+    return quarantine.sendPermission(digest, at) == SendPermission::Quarantined;
 }
 
 } // namespace
@@ -121,19 +121,19 @@
     CHECK_FALSE(isQuarantined(quarantine, "beside"));
 }
 
-// Guards against a verdict from the records of one instance, while another instance sent the
+// Guards against a decision from the records of one instance, while another instance sent the
 // request that explains all crashes.
 TEST_CASE("a request is deferred until the records of other instances have arrived")
 {
     Quarantine quarantine;
     for (const char *endpoint : {"e1", "e2", "e3"})
         crashWith(quarantine, endpoint, {"beside"});
-    CHECK(quarantine.verdict("beside", Start) == Verdict::Deferred);
+    CHECK(quarantine.sendPermission("beside", Start) == SendPermission::Deferred);
     CHECK(quarantine.blockedFor("beside", Start) == seconds(2));
     quarantine.setShared({{"bad", "e1", Start}, {"bad", "e2", Start}, {"bad", "e3", Start}});
-    CHECK(quarantine.verdict("beside", Start + seconds(1)) == Verdict::Deferred);
-    CHECK(quarantine.verdict("beside", Start + seconds(2)) == Verdict::TrialOnly);
-    CHECK(quarantine.verdict("beside", Start + seconds(10)) == Verdict::TrialOnly);
+    CHECK(quarantine.sendPermission("beside", Start + seconds(1)) == SendPermission::Deferred);
+    CHECK(quarantine.sendPermission("beside", Start + seconds(2)) == SendPermission::TrialOnly);
+    CHECK(quarantine.sendPermission("beside", Start + seconds(10)) == SendPermission::TrialOnly);
 }
 
 TEST_CASE("two requests with the same five crashes are both quarantined")
@@ -179,7 +179,7 @@
     for (const char *endpoint : {"e1", "e2", "e3"})
         crashWith(quarantine, endpoint, {"popular"});
     CHECK_FALSE(isQuarantined(quarantine, "popular"));
-    CHECK(quarantine.verdict("popular", Start + seconds(10)) == Verdict::TrialOnly);
+    CHECK(quarantine.sendPermission("popular", Start + seconds(10)) == SendPermission::TrialOnly);
     crashWith(quarantine, "e4", {"popular"});
     crashWith(quarantine, "e5", {"popular"});
     CHECK(isQuarantined(quarantine, "popular"));
@@ -279,7 +279,7 @@
     Quarantine quarantine;
     std::vector<CrashRecord> records;
     for (std::size_t i = 0; i < QuarantineSettings {}.maxDigests; ++i)
-        records.push_back({"told " + std::to_string(i), "f" + std::to_string(i % 50), Start});
+        records.push_back({"shared " + std::to_string(i), "f" + std::to_string(i % 50), Start});
     quarantine.setShared(records);
     for (const char *endpoint : {"e1", "e2", "e3"})
         crashWith(quarantine, endpoint, {"bad"});
@@ -320,11 +320,12 @@
             if (pick(4) == 0 && m_otherCrashesLeft-- > 0)
                 crash(pick(Endpoints), "", 0);
             const std::size_t instance = pick(Instances);
-            for (int attempt = 0; attempt < 2 && verdict(instance, "guilty") == Verdict::Allowed;
+            for (int attempt = 0;
+                 attempt < 2 && sendPermission(instance, "crashing") == SendPermission::Allowed;
                  ++attempt)
-                crash(pick(Endpoints), "guilty", instance);
-            if (verdict(instance, "guilty") == Verdict::TrialOnly)
-                crash(endpointWithoutTrial(), "guilty", instance);
+                crash(pick(Endpoints), "crashing", instance);
+            if (sendPermission(instance, "crashing") == SendPermission::TrialOnly)
+                crash(endpointWithoutTrial(), "crashing", instance);
             for (Request &each : m_harmless)
                 advance(each);
         }
@@ -335,7 +336,7 @@
     static constexpr std::size_t Instances = 6;
     static constexpr std::size_t Endpoints = 8;
     static constexpr std::size_t Harmless = 24;
-    /// Endpoint of a request whose caller is about to send it again.
+    /// Stands for the endpoint of a request that is at no endpoint now.
     static constexpr std::size_t NoEndpoint = Endpoints;
     static constexpr int Steps = 10;
     static constexpr std::size_t MaxAttempts = 3;
@@ -356,9 +357,9 @@
         return std::uniform_int_distribution<std::size_t>(0, count - 1)(m_random);
     }
 
-    Verdict verdict(std::size_t instance, const std::string &digest) const
+    SendPermission sendPermission(std::size_t instance, const std::string &digest) const
     {
-        return m_instances[instance].verdict(digest, m_now);
+        return m_instances[instance].sendPermission(digest, m_now);
     }
 
     /// A random endpoint without a trial, or NoEndpoint if there is none.
@@ -405,16 +406,16 @@
         request.finished = ++request.attempts > MaxAttempts;
     }
 
-    /// Sends the request again if its verdict allows it.
+    /// Sends the request again if its permission allows it.
     void resend(Request &request)
     {
-        const Verdict verdictNow = verdict(request.instance, request.digest);
-        if (verdictNow == Verdict::Allowed)
+        const SendPermission permission = sendPermission(request.instance, request.digest);
+        if (permission == SendPermission::Allowed)
             request.endpoint = pick(Endpoints);
-        if (verdictNow == Verdict::TrialOnly)
+        if (permission == SendPermission::TrialOnly)
             request.endpoint = endpointWithoutTrial();
-        request.onTrial = verdictNow == Verdict::TrialOnly && request.endpoint != NoEndpoint;
-        request.finished = verdictNow == Verdict::Quarantined;
+        request.onTrial = permission == SendPermission::TrialOnly && request.endpoint != NoEndpoint;
+        request.finished = permission == SendPermission::Quarantined;
         m_result.harmlessQuarantined += request.finished ? 1 : 0;
     }
 
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -317,14 +317,14 @@
     if (blockIfSuspected(id, flight, now, actions))
         return;
     // This runs at each tick while the flight waits: avoid the path search without a retry.
-    if (flight.owesRetry && !budget(flight).canWithdraw(now))
+    if (flight.nextSendIsRetry && !budget(flight).canWithdraw(now))
         return;
     SendRequest send;
     if (!choose(flight, now, send))
         return finishTrial(flight, TrialOutcome::NotSent, actions);
-    if (flight.owesRetry && !withdrawRetry(flight, now))
+    if (flight.nextSendIsRetry && !withdrawRetry(flight, now))
         return;
-    flight.owesRetry = false;
+    flight.nextSendIsRetry = false;
     send.flight = id;
     send.attempt = ++flight.attempt;
     send.timeLeft = flight.deadline - now;
@@ -361,8 +361,8 @@
     return flight.mayHaveRunAt.empty() ? FlightOutcome::NotExecuted : ifMayHaveRun;
 }
 
-/// A started stream has no limit of sends, only the retry budget and the caller's patience:
-/// engines that reject it did not execute it, and its caller cannot resume it otherwise.
+/// The sends of a started stream are limited only by the retry budget and by how long the caller
+/// waits: engines that reject the stream did not execute it, and its caller cannot resume it.
 bool Relay::sendLimitReached(const Flight &flight) const
 {
     return !flight.eventsForwarded
@@ -394,7 +394,7 @@
     if (!flight.mayHaveRunAt.empty() && !mayRunAgain(flight))
         return finish(id, outcome, std::move(reason), actions);
     if (sendLimitReached(flight))
-        return finish(id, outcome, reason + "; no sends left", actions);
+        return finish(id, outcome, reason + "; send limit reached", actions);
     if (blockIfSuspected(id, flight, now, actions))
         return;
     if (!withdrawRetry(flight, now)) {
@@ -404,7 +404,7 @@
             return finish(id, outcome, std::move(reason), actions);
         // The caller waits some time for the next event, and the window may free a retry
         // meanwhile. Truncating the answer now would lose it for certain.
-        flight.owesRetry = true;
+        flight.nextSendIsRetry = true;
         flight.lastReason = std::move(reason);
         return;
     }
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -144,7 +144,7 @@
 }
 
 // Guards against new requests that use up the retry budget. An overloaded fleet rejects them one
-// after another; then the engine of a stream fails that has run for seconds. Without a retry its
+// after another; then the engine of a stream that began seconds ago fails. Without a retry its
 // answer would be truncated, while callers of refused requests can retry.
 TEST_CASE("new requests leave retries for started streams")
 {
@@ -164,7 +164,7 @@
     CHECK(harness.finished(newRequest)->outcome == FlightOutcome::NotExecuted);
     CHECK(harness.finished(newRequest)->retryAfter > Duration {});
     harness.fail(stream, AttemptFailure::Broken);
-    harness.advance(milliseconds(400)); // both engines are left out after their rejections
+    harness.advance(milliseconds(400)); // both engines are avoided after their rejections
     CHECK(harness.sends(stream).size() == 2);
     CHECK_FALSE(harness.finished(stream));
 }
@@ -231,8 +231,8 @@
     CHECK_FALSE(harness.finished(stream));
 }
 
-// Guards against retries beyond the fleet's budget: two of four instances stop in turn, and what
-// they spent still counts in the window.
+// Guards against retries beyond the fleet's budget: two of four instances stop in turn, and the
+// retries that they used still count in the window.
 TEST_CASE("the share of an instance that left is not redistributed in the same window")
 {
     RelayHarness harness(twoPaths(), onlySlack(40));
@@ -505,7 +505,7 @@
 
 // Guards against the use of retries for engines that reject requests again and again for lack of
 // memory.
-TEST_CASE("an engine that rejects repeatedly is left out for longer each time")
+TEST_CASE("an engine that rejects repeatedly is avoided for longer each time")
 {
     EngineTracker tracker;
     Time now(std::chrono::hours(1));
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -7,7 +7,7 @@
 namespace balsamloft {
 
 /// Records that the endpoint broke the attempt. A crash interrupts all attempts on the endpoint,
-/// but only one that has not run for long can be the cause.
+/// but only an attempt that started recently can be the cause.
 void Relay::recordBroken(Flight &flight, Time now, RelayActions &actions)
 {
     const FleetEndpoint *endpoint = m_fleet->find(flight.endpoint);
@@ -48,7 +48,7 @@
     const std::string &digest = flight.request.digest;
     return !flight.provenHarmless
            && (m_quarantine.awaitsConfirmation(digest, now)
-               || m_quarantine.verdict(digest, now) != Verdict::Allowed);
+               || m_quarantine.sendPermission(digest, now) != SendPermission::Allowed);
 }
 
 void Relay::recordProgress(Flight &flight, Time now, RelayActions &actions)
@@ -63,8 +63,8 @@
     finishTrial(flight, TrialOutcome::Succeeded, actions);
 }
 
-/// Resolves unconfirmed crashes by the list of endpoints. One that announced its shutdown did
-/// not crash.
+/// Resolves unconfirmed crashes from the list of endpoints. An endpoint that announced its
+/// shutdown did not crash.
 void Relay::resolveUnconfirmed(Time now)
 {
     for (const std::string &id : m_quarantine.unconfirmedEndpoints(now)) {
@@ -90,16 +90,16 @@
     if (flight.provenHarmless)
         return false;
     if (m_quarantine.awaitsConfirmation(digest, now)) {
-        flight.owesRetry = flight.sends > 0;
+        flight.nextSendIsRetry = flight.sends > 0;
         return true;
     }
-    switch (m_quarantine.verdict(digest, now)) {
-    case Verdict::Allowed:
+    switch (m_quarantine.sendPermission(digest, now)) {
+    case SendPermission::Allowed:
         return false;
-    case Verdict::TrialOnly:
+    case SendPermission::TrialOnly:
         return awaitTrial(id, flight, now, actions);
-    case Verdict::Deferred:
-    case Verdict::Quarantined:
+    case SendPermission::Deferred:
+    case SendPermission::Quarantined:
         break;
     }
     finishBlocked(id, flight, m_quarantine.blockedFor(digest, now), now, actions);
@@ -112,8 +112,9 @@
     if (flight.provenHarmless)
         return true;
     const bool permitted = flight.trial.state >= Trial::State::Granted && now < flight.trial.until;
-    const Verdict verdict = m_quarantine.verdict(flight.request.digest, now);
-    return verdict == Verdict::Allowed || (verdict == Verdict::TrialOnly && permitted);
+    const SendPermission permission = m_quarantine.sendPermission(flight.request.digest, now);
+    return permission == SendPermission::Allowed
+           || (permission == SendPermission::TrialOnly && permitted);
 }
 
 /// Requests the permit for a trial at the endpoint that would be chosen now.
@@ -123,7 +124,7 @@
     Trial &trial = flight.trial;
     if (trial.state == Trial::State::Granted && now < trial.until)
         return false;
-    flight.owesRetry = flight.sends > 0;
+    flight.nextSendIsRetry = flight.sends > 0;
     if (trial.state == Trial::State::Requested)
         return true;
     if (!trial.busyEndpoints.empty() && now - trial.requestedAt < m_settings.trialRetryInterval)
@@ -186,25 +187,25 @@
                           RelayActions &actions)
 {
     const bool quarantined =
-        m_quarantine.verdict(flight.request.digest, now) == Verdict::Quarantined;
+        m_quarantine.sendPermission(flight.request.digest, now) == SendPermission::Quarantined;
     std::uniform_int_distribution<std::int64_t> spread(
         0, m_quarantine.settings().propagationDelay.count());
     m_counts.quarantined += 1;
     finish(id, outcomeOf(flight, FlightOutcome::Failed),
-           quarantined ? "quarantined: endpoints crashed while running it"
-                       : "endpoints crashed while running it; no trial is permitted now",
+           quarantined ? "request quarantined: endpoints crashed while running it"
+                       : "endpoints crashed while running the request; no trial is permitted now",
            actions, wait + Duration(spread(m_random)));
 }
 
 /// Abandons an attempt whose request was found to crash endpoints: it may still wait at its
 /// endpoint, which it would crash too.
-bool Relay::recall(FlightId id, Flight &flight, Time now, RelayActions &actions)
+bool Relay::abandonSuspectedAttempt(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (flight.state == State::Waiting || mayRun(flight, now))
         return false;
     const std::string &digest = flight.request.digest;
     const bool hasEvents = flight.firstEventAt.has_value();
-    if (m_quarantine.verdict(digest, now) == Verdict::TrialOnly
+    if (m_quarantine.sendPermission(digest, now) == SendPermission::TrialOnly
         && flight.trial.state != Trial::State::Sent
         && (hasEvents
             || m_quarantine.crashes(digest, now) < m_quarantine.settings().crashesToRequireTrial))
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -78,7 +78,7 @@
 void Relay::discountPause(Time now)
 {
     const Duration pause = now - m_lastTick;
-    if (m_lastTick != Time {} && pause > m_settings.maxTickGap)
+    if (m_lastTick != Time {} && pause > m_settings.maxTickInterval)
         for (auto &[id, flight] : m_flights) {
             flight.sentAt += std::min(pause, now - flight.sentAt);
             flight.progressAt += std::min(pause, now - flight.progressAt);
@@ -108,7 +108,7 @@
         }
         return finish(id, outcomeOf(flight, FlightOutcome::TimedOut), "deadline exceeded", actions);
     }
-    if (recall(id, flight, now, actions))
+    if (abandonSuspectedAttempt(id, flight, now, actions))
         return;
     if (flight.state == State::Waiting)
         return watchWaiting(id, flight, now, actions);
@@ -191,7 +191,7 @@
     if (idempotent && pause >= timeout + expected && worthMoving(flight, now))
         return abandonAndRetry(id, flight, "stream stalled", now, actions);
     const auto queryPause =
-        Duration(static_cast<std::int64_t>(expected.count() * m_settings.queryAfterGaps));
+        Duration(static_cast<std::int64_t>(expected.count() * m_settings.queryAfterPauses));
     if (pause >= std::max(m_settings.queryAfterPause, queryPause))
         queryEngine(flight.endpoint, now, actions);
 }
--- a/src/libbalsamloft/trialpermits_test.cpp
+++ b/src/libbalsamloft/trialpermits_test.cpp
@@ -169,8 +169,8 @@
     CHECK(fleet.requestPermit(1, {"beside", "e1", true}).granted);
 }
 
-// Guards against a paused instance that resumes and releases the permit another one received
-// meanwhile.
+// Guards against a paused instance that resumes and releases the permit that another
+// instance received meanwhile.
 TEST_CASE("an expired permit is not released")
 {
     Fleet fleet(2);
