--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -17,7 +17,7 @@
     const FleetEndpoint *endpoint = nullptr;
     double prefillMs = 0; ///< of the prompt, per layer
     double passMs = 0; ///< of one pass, which gives one event, per layer
-    double factor = 1; ///< on its cost: fullness, failures and noise
+    double factor = 1; ///< on the engine's cost, for fullness, failures and noise
     double fullness = 0; ///< KV memory of all requests, this one included, over the capacity
     bool full = false;
     bool mayBegin = true; ///< may run the first layers of the path
@@ -276,8 +276,8 @@
         Candidate candidate;
         candidate.endpoint = &each;
         candidate.mayBegin = !query.excludedAsFirst || !query.excludedAsFirst->contains(each.id);
-        // Running requests still need memory for the rest of their answers, and queued ones
-        // get theirs before this request.
+        // Running requests still need memory for the rest of their answers, and queued
+        // requests get their memory before this request.
         const double growth =
             load.reported
                 ? (load.requests * model.typicalAnswerTokens / 2
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -31,7 +31,7 @@
 
 /// Records that the attempt is stalled at an engine in the middle of its path. A crash there
 /// does not break the attempt: the first engine is alive and waits. After the first event, all
-/// engines of the path have executed the request, so it is not the cause.
+/// engines of the path have executed the request, so the request is not the cause.
 void Relay::recordStalled(Flight &flight, const std::string &endpoint, Time now)
 {
     const FleetEndpoint *found = m_fleet->find(endpoint);
@@ -197,8 +197,8 @@
            actions, wait + Duration(spread(m_random)));
 }
 
-/// Abandons an attempt whose request was found to crash endpoints: it may still wait at its
-/// endpoint, which it would crash too.
+/// Abandons an attempt whose request was found to crash endpoints. The request may still be queued
+/// at the endpoint of the attempt, and would crash that endpoint too.
 bool Relay::abandonSuspectedAttempt(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (flight.state == State::Waiting || mayRun(flight, now))
--- a/src/libbalsamloft/relaypath.cpp
+++ b/src/libbalsamloft/relaypath.cpp
@@ -60,7 +60,7 @@
     }
     if (reply != PathReply::Accepted) {
         if (worthMoving(*flight, now))
-            abandonAndRetry(id, *flight, "its path could not be changed", now, actions);
+            abandonAndRetry(id, *flight, "the path could not be changed", now, actions);
         return;
     }
     // The new engines need time to prefill the prompt before the next event.
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -178,7 +178,7 @@
     const bool idempotent = flight.request.route->idempotent();
     if (suspectedEngine && pause >= m_settings.suspectPause + expected) {
         recordStalled(flight, *suspectedEngine, now);
-        flight.lastReason = "an engine of its path does not answer";
+        flight.lastReason = "an engine of the path does not answer";
         if (changePath(id, flight, now, actions))
             return;
         if (idempotent && worthMoving(flight, now))
