--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -211,7 +211,7 @@
     const bool late =
         m_route
         && (first > m_route->targetLatency
-            || (m_route->targetEventGap > Duration {} && m_longestGap > m_route->targetEventGap)
+            || (m_route->targetEventPause > Duration {} && m_longestGap > m_route->targetEventPause)
             || (m_route->kind != RequestKind::Stream
                 && now - m_startedAt > m_route->targetLatency));
     RequestOutcome request;
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -132,7 +132,7 @@
         route.kind = RequestKind::Stream;
         route.timeout = std::chrono::seconds(20);
         route.targetLatency = m_settings.targetLatency;
-        route.targetEventGap = m_settings.targetEventGap;
+        route.targetEventPause = m_settings.targetEventPause;
         route.maxAttempts = 2;
         route.resumable = true;
         builder.route(route, {{"model", 1}});
@@ -640,7 +640,7 @@
         if (caller.events > 1)
             m_gaps.push_back(caller.gapSumMs / double(caller.events - 1));
         const bool onTime = caller.firstMs <= m_settings.targetLatency.count() / 1000.0
-                            && caller.longestGapMs <= m_settings.targetEventGap.count() / 1000.0;
+                            && caller.longestGapMs <= m_settings.targetEventPause.count() / 1000.0;
         const bool stayed = std::max(caller.firstMs, caller.longestGapMs) <= CutCaller;
         (onTime ? m_onTime : stayed ? m_late : m_cut) += 1;
         second(caller).onTime += onTime ? 1 : 0;
@@ -861,7 +861,7 @@
                         {"c", "middle", 12}, {"d", "middle", 5}, {"a", "small", 11},
                         {"b", "small", 17},  {"c", "small", 9},  {"d", "small", 11}};
     settings.instancesPerDomain = 20;
-    settings.targetEventGap = std::chrono::milliseconds(250);
+    settings.targetEventPause = std::chrono::milliseconds(250);
     settings.requestsPerSecond = 312;
     settings.length = std::chrono::seconds(6);
     settings.relay.retrySlack = 300;
@@ -883,7 +883,7 @@
                         {"c", "small", 15},  {"d", "small", 18},  {"e", "small", 27}};
     settings.instancesPerDomain = 59;
     settings.targetLatency = std::chrono::milliseconds(600);
-    settings.targetEventGap = std::chrono::milliseconds(300);
+    settings.targetEventPause = std::chrono::milliseconds(300);
     settings.requestsPerSecond = 500;
     settings.length = std::chrono::seconds(6);
     settings.relay.retrySlack = 580;
--- a/src/fakes/layeremulator.h
+++ b/src/fakes/layeremulator.h
@@ -37,7 +37,7 @@
     /// After so long a time of traffic the engine on which most paths begin dies.
     std::vector<Duration> firstEngineDies;
     Duration targetLatency {500'000};
-    Duration targetEventGap {200'000};
+    Duration targetEventPause {200'000};
     LayerPlannerSettings planner;
     RelaySettings relay;
     std::uint64_t seed = 1;
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -96,7 +96,7 @@
     RequestKind kind = RequestKind::Safe;
     Duration timeout {}; ///< longest time until a request is answered or refused
     Duration targetLatency {};
-    Duration targetEventGap {}; ///< longest pause between two events that meets the target
+    Duration targetEventPause {}; ///< longest pause between two events that meets the target
     int priority = 0; ///< 0 is the highest
     std::uint32_t maxAttempts = 1; ///< number of endpoints that may execute one request
     bool anonymous = false; ///< accepts requests without an API key
