--- a/src/fakes/controlharness.cpp
+++ b/src/fakes/controlharness.cpp
@@ -70,7 +70,7 @@
     const Time start = m_now;
     const auto allInstalled = [&] {
         return std::all_of(m_nodes.begin(), m_nodes.end(), [&](const ControlNode &node) {
-            return !node.alive || node.installed >= version;
+            return !node.alive || node.installedVersion >= version;
         });
     };
     while (!allInstalled()) {
@@ -86,7 +86,7 @@
     ControlNode &node = m_nodes[index];
     if (!node.alive)
         return;
-    if (m_settings.polling || node.installed == 0 || !node.outcomes.empty()) {
+    if (m_settings.polling || node.installedVersion == 0 || !node.outcomes.empty()) {
         ConfigActions actions;
         node.config.tick(m_now, actions);
         perform(index, actions);
@@ -221,8 +221,8 @@
                 });
         } else if (auto *install = std::get_if<InstallConfig>(&action)) {
             const ConfigHead &head = install->config->head();
-            node.regressions += head.version < node.installed ? 1 : 0;
-            node.installed = head.version;
+            node.regressions += head.version < node.installedVersion ? 1 : 0;
+            node.installedVersion = head.version;
             node.installedAt.try_emplace(head.version, m_now);
             node.membership.setHead(head);
         } else if (auto *decided = std::get_if<ProposalDecided>(&action)) {
--- a/src/fakes/controlharness.h
+++ b/src/fakes/controlharness.h
@@ -15,7 +15,7 @@
 
 namespace balsamloft::fakes {
 
-/// Settings of a ControlHarness.
+/// Size, faults and latencies of a ControlHarness.
 struct ControlHarnessSettings
 {
     std::size_t nodes = 8;
@@ -39,7 +39,7 @@
     bool alive = true;
     bool platformReachable = true;
     std::uint32_t partition = 0; ///< messages are delivered within a partition only
-    std::uint64_t installed = 0; ///< active configuration version
+    std::uint64_t installedVersion = 0; ///< active configuration version
     std::uint64_t regressions = 0; ///< times that a lower version replaced a higher one
     std::map<std::uint64_t, Time> installedAt;
     std::uint64_t bytesSent = 0;
@@ -112,7 +112,7 @@
     ControlHarnessSettings m_settings;
     std::deque<ControlNode> m_nodes;
     std::mt19937_64 m_random;
-    std::vector<Event> m_events; ///< a heap
+    std::vector<Event> m_events; ///< heap with the earliest event first
     TableModel m_tables;
     std::map<std::string, std::string> m_objects;
     Time m_now {std::chrono::seconds(1)};
--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -12,8 +12,8 @@
 constexpr Duration Step {10'000};
 constexpr Duration StoreHoldTime {700'000}; ///< how long the store holds a long poll
 constexpr Duration PeerHoldTime {300'000}; ///< how long an instance holds a query
-constexpr Duration FirstPeerHoldTime {100'000}; ///< the same for the first query of an instance
-constexpr Duration StoreTimeout {1'200'000}; ///< after which a call to a silent store fails
+constexpr Duration FirstPeerHoldTime {100'000}; ///< hold time for an instance without data
+constexpr Duration StoreTimeout {1'200'000}; ///< after which a call to an unresponsive store fails
 constexpr Duration RetryPause {100'000};
 
 std::string nameOf(std::size_t index)
@@ -27,15 +27,15 @@
     : m_settings(settings)
 {
     constexpr double BytesPerMsOfMbps = 125;
-    const std::size_t all = settings.domains * settings.instancesPerDomain;
+    const std::size_t instanceCount = settings.domains * settings.instancesPerDomain;
     const std::vector<StoreRow> rows {{"row", settings.row, 1, false}};
     m_rowBytes = settings.row.empty() ? 0 : encodedSize(rows);
-    m_answersInTransit.assign(all, 0);
-    for (std::size_t i = 0; i < all; ++i) {
+    m_answersInTransit.assign(instanceCount, 0);
+    for (std::size_t i = 0; i < instanceCount; ++i) {
         const std::size_t domain = i % settings.domains;
         m_list.push_back({nameOf(i), "d" + std::to_string(domain), "10.0.0.1:1"});
     }
-    for (std::size_t i = 0; i < all; ++i) {
+    for (std::size_t i = 0; i < instanceCount; ++i) {
         PeerDirectory directory(m_list[i].name, m_list[i].domain);
         directory.setInstances(m_list);
         m_instances.push_back({m_list[i], i % settings.domains, std::move(directory)});
@@ -181,7 +181,7 @@
         instance.querying = false;
         instance.direct = true;
         instance.directory.storeAnswered();
-        updateKnowledge(instance, versionAt(m_now), m_now);
+        recordUpdate(instance, versionAt(m_now), m_now);
     } else if (!healthy
                && (instance.behavior == StoreBehavior::Refusing
                    || m_now >= instance.storeAnswerAt)) {
@@ -211,7 +211,7 @@
         return instance.directory.recordEmptyAnswer(name, m_now);
     instance.direct = false;
     instance.directory.recordAnswer(name, m_now - answer.knownAt, answer.direct, m_now);
-    updateKnowledge(instance, answer.version, answer.knownAt);
+    recordUpdate(instance, answer.version, answer.knownAt);
 }
 
 bool PropagationEmulator::isOverdue(const Instance &instance) const
@@ -249,7 +249,7 @@
     }
 }
 
-void PropagationEmulator::updateKnowledge(Instance &instance, std::uint64_t version, Time knownAt)
+void PropagationEmulator::recordUpdate(Instance &instance, std::uint64_t version, Time knownAt)
 {
     instance.version = std::max(instance.version, version);
     instance.knownAt = std::max(instance.knownAt, knownAt);
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -18,7 +18,7 @@
 /// How the store responds to an instance.
 enum class StoreBehavior : std::uint8_t { Healthy, Refusing, Silent };
 
-/// Settings of a PropagationEmulator.
+/// Size, writes and link speeds of an emulated fleet.
 struct PropagationSettings
 {
     std::size_t domains = 5;
@@ -104,7 +104,7 @@
         PeerDirectory directory;
         bool alive = true;
         Time busyUntil {};
-        Time impairedAt {}; ///< last time it was dead, busy or partitioned
+        Time impairedAt {}; ///< last time the instance was dead, busy or partitioned
         bool partitioned = false;
         StoreBehavior behavior = StoreBehavior::Healthy;
         std::uint64_t version = 0; ///< latest version received; 0: none
@@ -112,7 +112,7 @@
         bool direct = false; ///< its last data came from the store, which has not failed since
         bool querying = false;
         bool queriesStore = false; ///< the current query goes to the store
-        std::size_t source = 0; ///< otherwise, index of the queried instance
+        std::size_t source = 0; ///< index of the queried instance, unless the store is queried
         Time sourceKnownAtStart {}; ///< the source's \c knownAt when the query started
         Time queriedAt {};
         Time storeAnswerAt {}; ///< latest time of the store's answer or failure
@@ -136,7 +136,7 @@
     void transfer();
     static Duration holdTime(const Instance &instance);
     double bytesPerStep(const Instance &instance) const;
-    void updateKnowledge(Instance &instance, std::uint64_t version, Time knownAt);
+    void recordUpdate(Instance &instance, std::uint64_t version, Time knownAt);
 
     PropagationSettings m_settings;
     std::vector<Instance> m_instances;
--- a/src/fakes/routerharness.h
+++ b/src/fakes/routerharness.h
@@ -17,7 +17,7 @@
 
 namespace balsamloft::fakes {
 
-/// What the caller of one request received.
+/// One request with the tokens and the answer or refusal that its caller received.
 struct CallerRecord
 {
     Request request;
@@ -27,7 +27,7 @@
     std::optional<Answer> answer;
     std::optional<RefuseRequest> refusal;
     Time finishedAt {};
-    std::uint32_t attempts = 0; ///< started so far
+    std::uint32_t attempts = 0; ///< attempts started so far
 
     /// The tokens received, concatenated.
     std::string text() const;
@@ -43,7 +43,7 @@
     }
     EngineModel model;
     std::string domain;
-    std::uint32_t epoch = 0; ///< increased by kill(): drops the steps sent before
+    std::uint32_t epoch = 0; ///< increased by kill(): steps of earlier epochs are dropped
     bool killed = false; ///< refuses and resets connections
     bool frozen = false; ///< accepts data, but neither steps nor probes are answered
     std::uint32_t answersToDrop = 0; ///< next answers that are lost
@@ -52,7 +52,7 @@
     std::map<Time, LoadReport> reports; ///< past reports, for reportLag
 };
 
-/// Settings of a RouterHarness.
+/// Number of routers, latencies and seed of a RouterHarness.
 struct HarnessSettings
 {
     std::size_t routers = 1;
@@ -93,10 +93,10 @@
     const std::map<RequestId, CallerRecord> &records() const { return m_records; }
     TableModel &tables() { return m_tables; }
 
-    /// Number of answers of the table service that are lost after the write.
+    /// Number of answers of the table service that are lost although the write took effect.
     int loseTableAnswers = 0; // NOLINT(readability-identifier-naming): a fault to switch on
 
-    /// The table service refuses all calls.
+    /// Whether the table service refuses all calls.
     bool tablesDown = false; // NOLINT(readability-identifier-naming): a fault to switch on
 
     /// Called when a request is answered or refused, for example to submit the next one.
--- a/src/fakes/standinprotocol.cpp
+++ b/src/fakes/standinprotocol.cpp
@@ -168,7 +168,7 @@
             builder.team({std::string(team.value().as_string()), std::nullopt},
                          {std::string(team.key())});
         RouteMapPtr map = builder.build();
-        skippedEntries = builder.leftOut();
+        skippedEntries = builder.skippedRoutes();
         return map;
     }
 
--- a/src/include/balsamloft/actions.h
+++ b/src/include/balsamloft/actions.h
@@ -12,11 +12,11 @@
 
 namespace balsamloft {
 
-/// Kind of a request's target.
+/// Whether a request is addressed to a model or to a plain service.
 enum class TargetKind : std::uint8_t { Model, Service };
 
-/// A caller's request as the core sees it. The body of a service call stays in the I/O
-/// layer; the core keeps the prompt because it is needed to resume a completion.
+/// The parts of a caller's request that routing decisions need. The body of a service call stays
+/// in the I/O layer; the prompt is included because a resumed completion sends it again.
 struct Request
 {
     RequestId id = 0;
@@ -44,7 +44,7 @@
     bool replayed = false; ///< stored answer of an earlier request with the same key
 };
 
-/// Why a request was refused or aborted.
+/// Reason for refusing or aborting a request.
 enum class RefusalCode : std::uint8_t {
     NotReady,
     Draining,
@@ -110,7 +110,7 @@
 {
     enum class Kind : std::uint8_t {
         Won, ///< this request owns the key
-        Held, ///< another request owns the key and is running, or its outcome is unknown
+        Held, ///< another request owns the key; it is running or its outcome is unknown
         Finished, ///< another request with this key has finished; \c answer is its answer
         KeyReused, ///< the key belongs to a request with different content
         Unavailable, ///< the claim failed, or its result did not arrive in time
@@ -206,7 +206,7 @@
     EndpointId endpoint = NoEndpoint;
 };
 
-/// The endpoint reported that it is shutting down: passes this on to the other instances.
+/// Reports to the other instances that the endpoint is shutting down.
 struct ReportLeaving
 {
     EndpointId endpoint = NoEndpoint;
--- a/src/include/balsamloft/calllimits.h
+++ b/src/include/balsamloft/calllimits.h
@@ -19,9 +19,9 @@
     {
     }
 
-    Duration answerTimeout; ///< until the first byte of the answer
-    Duration idleTimeout; ///< then, between two reads; 0: answerTimeout covers the complete answer
-    Duration totalTimeout; ///< until the answer is complete, even if data keeps arriving
+    Duration answerTimeout; ///< from the call to the first byte of the answer
+    Duration idleTimeout; ///< between two reads; 0: answerTimeout covers the complete answer
+    Duration totalTimeout; ///< from the call to the complete answer
 
     /// Returns when a call started at \a calledAt times out. \a readAt is the time of the
     /// last read of its answer, if there was one.
--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -11,19 +11,19 @@
 
 namespace balsamloft {
 
-/// Settings of a ClaimManager.
+/// Timeouts, batch size and limits of a ClaimManager.
 struct ClaimSettings
 {
     std::string instance; ///< unique name of this instance and its incarnation
     std::size_t batchSize = 64; ///< maximum number of rows written in one transaction
-    Duration claimTimeout {2'000'000}; ///< then the claim is answered as Unavailable
+    Duration claimTimeout {2'000'000}; ///< after which a claim is answered as Unavailable
     Duration retryDelay {50'000};
     Duration maxRetryDelay {2'000'000};
-    std::size_t maxPendingResolutions = 20'000; ///< outcomes of claims not written yet
+    std::size_t maxPendingResolutions = 20'000; ///< maximum number of outcomes not written yet
     std::size_t maxStoredAnswerBytes = 256 * 1024; ///< longer answers are not stored for retries
 };
 
-/// Identifies a request by its traffic thread and its number there.
+/// Identifies a request by its traffic thread and its number in that thread.
 struct ClaimOwner
 {
     std::uint32_t worker = 0;
@@ -32,21 +32,21 @@
     auto operator<=>(const ClaimOwner &) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-/// Asks to run a transaction and to pass its outcome to ClaimManager::transactionDone().
+/// Action: run the transaction and pass its outcome to ClaimManager::transactionDone().
 struct RunClaimTransaction
 {
     std::uint64_t id = 0;
     Transaction transaction;
 };
 
-/// Asks to read a row of ClaimTable and to pass it to ClaimManager::readDone().
+/// Action: read a row of ClaimTable and pass the result to ClaimManager::readDone().
 struct ReadClaimRow
 {
     std::uint64_t id = 0;
     std::string key;
 };
 
-/// Reports the result of a claim.
+/// Action: pass the result of a claim to the request that started it.
 struct ClaimDecided
 {
     ClaimOwner owner;
@@ -62,12 +62,11 @@
 /// Claims idempotency keys before requests are sent, and stores the answers of
 /// finished requests.
 ///
-/// Relies on conditional writes alone: a claim is written only if the key has no
-/// row or its row is marked free, and only at the version that was read. A claim
-/// is never taken over by another instance. Rows are never deleted: a new row
-/// would start at the first version again, and a delayed write meant for the old
-/// row would then meet its condition. Writes are batched: one transaction is in
-/// progress at a time, and claims that arrive meanwhile go into the next one.
+/// Relies on conditional writes alone: a claim is written only if the key has no row or its row
+/// is marked free, and only at the version that was read. A claim is never taken over by another
+/// instance. Rows are never deleted: a new row would start at version 1 again, so that a delayed
+/// write to the deleted row could meet its version check. Writes are batched: one transaction is
+/// in progress at a time, and claims that arrive meanwhile go into the next one.
 class ClaimManager
 {
 public:
@@ -95,7 +94,7 @@
     std::uint64_t resolutionsDropped() const { return m_resolutionsDropped; }
 
 private:
-    /// A claim from its request until it is resolved.
+    /// A claim, from its start until its request has finished.
     struct Claim
     {
         ClaimOwner owner;
@@ -106,17 +105,17 @@
         Time retryAt {};
         std::uint32_t attempts = 0;
         bool abandoned = false; ///< answered as Unavailable; its row, if written, has to be freed
-        bool mayExist = false; ///< a write with unknown outcome was sent
-        std::uint64_t version = 0; ///< of the row: expected by the write; once won, the written one
+        bool rowMayExist = false; ///< a write was sent whose outcome is unknown
+        std::uint64_t version = 0; ///< row version: expected by the write, or written if won
     };
-    /// The final value of a claimed row, to be written.
+    /// The value to write to the row of a claim whose request has finished.
     struct Resolution
     {
         std::string rowKey;
         std::optional<std::string> value;
         std::uint32_t attempts = 0;
         Time retryAt {};
-        std::uint64_t version = 0; ///< of the row as the claim wrote it
+        std::uint64_t version = 0; ///< row version that the claim wrote
     };
     /// The claims and resolutions of a transaction in progress.
     struct Batch
@@ -140,11 +139,11 @@
     void rowFound(Claim &claim, const TableRow &row, Time now, ClaimActions &actions);
 
     ClaimSettings m_settings;
-    std::map<ClaimOwner, Claim> m_claims; ///< undecided or abandoned
-    std::map<ClaimOwner, Claim> m_won; ///< of requests that are running
-    std::deque<ClaimOwner> m_queue; ///< to be written in the next transactions
+    std::map<ClaimOwner, Claim> m_claims; ///< claims without a result yet, and abandoned claims
+    std::map<ClaimOwner, Claim> m_won; ///< won claims of running requests
+    std::deque<ClaimOwner> m_queue; ///< claims to write in the next transactions
     std::deque<Resolution> m_resolutions;
-    std::map<std::uint64_t, Batch> m_batches; ///< in progress, by transaction id: at most one
+    std::map<std::uint64_t, Batch> m_batches; ///< transactions in progress, by id: at most one
     std::map<std::uint64_t, ClaimOwner> m_reads;
     std::uint64_t m_nextId = 1;
     std::uint64_t m_transactions = 0;
--- a/src/include/balsamloft/config.h
+++ b/src/include/balsamloft/config.h
@@ -76,7 +76,7 @@
     double weightGigabytes = 0;
     bool nonIdempotent = false; ///< every request to the model runs at most once
     bool scaleToZero = false; ///< an idle model may be unloaded from all engines
-    std::uint32_t alertEndpoints = 0; ///< per layer range, reserved for requests of priority alert
+    std::uint32_t alertEndpoints = 0; ///< reserved for alerts in each layer range
 };
 
 /// Idempotence of a service's paths that begin with a prefix.
@@ -98,10 +98,10 @@
 {
     std::string name;
     std::string tokenSha256; ///< hex digest of the bearer token
-    double share = 0; ///< weight in fair queueing, above zero; the teams' sum is at most 1
+    double share = 0; ///< weight in fair queueing, above zero; all shares sum to at most 1
     Priority maxPriority = Priority::Normal;
     double requestsPerSecond = 0; ///< over all instances; 0: no limit
-    std::uint32_t maxConcurrent = 0; ///< requests over all instances; 0: no limit
+    std::uint32_t maxConcurrent = 0; ///< running requests over all instances; 0: no limit
 };
 
 /// A validation error in a document.
@@ -131,12 +131,12 @@
 
 using ConfigEdits = std::vector<ConfigEdit>;
 
-/// One accepted change, from version - 1 to version. The same record is the audit log entry,
-/// so a change cannot exist without its audit entry, or the reverse.
+/// One accepted change, which leads from the previous version to \c version. The record also
+/// serves as the audit log entry, so a change and its audit entry cannot differ.
 struct ConfigChange
 {
     std::uint64_t version = 0;
-    std::string id; ///< chosen by the proposer; finds the change if the commit's answer was lost
+    std::string id; ///< chosen by the proposer; finds a commit whose answer was lost
     std::string author;
     std::string summary;
     WallMillis acceptedAt = 0;
@@ -231,8 +231,8 @@
 /// Returns the edits that undo \a edits, in the order in which to apply them.
 ConfigEdits reverseEdits(std::span<const ConfigEdit> edits);
 
-/// Returns the paths that both \a edits and the changes \a since modify with different
-/// results. These edits cannot be rebased.
+/// Returns the paths to which \a edits and the changes \a since assign different values. Edits
+/// with such a path cannot be rebased.
 std::vector<std::string> conflictingPaths(std::span<const ConfigEdit> edits,
                                           std::span<const ConfigChange> since);
 
--- a/src/include/balsamloft/configmanager.h
+++ b/src/include/balsamloft/configmanager.h
@@ -13,7 +13,7 @@
 
 namespace balsamloft {
 
-/// Settings of a ConfigManager.
+/// Intervals, timeouts and limits of a ConfigManager.
 struct ConfigManagerSettings
 {
     Duration pollInterval {5'000'000};
@@ -21,7 +21,7 @@
     Duration peerTimeout {1'000'000};
     std::size_t historyLength = 512; ///< changes kept for peers and for rebasing
     std::uint64_t snapshotEvery = 100; ///< versions between snapshots
-    std::uint64_t snapshotLag = 200; ///< versions behind beyond which a snapshot is read first
+    std::uint64_t snapshotLag = 200; ///< missing versions above which a snapshot is read first
     std::size_t scanLimit = 200; ///< changes read per scan
     std::uint32_t maxRebases = 8;
 };
@@ -79,7 +79,7 @@
 struct ScanConfigChanges
 {
     std::uint64_t id = 0;
-    std::uint64_t after = 0; ///< version to start after
+    std::uint64_t after = 0; ///< the scan begins after this version
     std::size_t limit = 0;
 };
 struct ReadConfigSnapshot
@@ -168,8 +168,8 @@
     std::optional<std::vector<ConfigChange>> changesAfter(std::uint64_t version) const;
     ConfigSnapshot snapshot() const { return {m_head, m_entries}; }
 
-    /// Number of changes and peer heads that contradicted the own digest, that is, belong to
-    /// a fork of the change log.
+    /// Number of changes and peer heads whose digest contradicts this instance's change log,
+    /// which shows that the log was forked.
     std::uint64_t forksSeen() const { return m_forksSeen; }
     bool platformReachable() const { return m_platformReachable; }
 
@@ -206,7 +206,7 @@
     std::deque<PendingProposal> m_proposals; ///< queue; the first is being processed
     std::optional<Time> m_nextPoll;
     std::map<std::string, ConfigHead> m_peerHeads;
-    std::uint64_t m_requestedVersion = 0; ///< requested from a peer; 0: none
+    std::uint64_t m_requestedVersion = 0; ///< version requested from a peer; 0: none
     Time m_requestedAt {};
     std::uint64_t m_nextId = 1;
     std::uint64_t m_headReadId = 0;
--- a/src/include/balsamloft/fairqueue.h
+++ b/src/include/balsamloft/fairqueue.h
@@ -53,9 +53,9 @@
     bool empty() const { return m_items.empty(); }
     std::size_t size() const { return m_items.size(); }
 
-    /// Estimates the cost that would be executed before a new request of \a team with
-    /// \a priority: all of the higher classes and, from its own class, the team's queue
-    /// scaled by the inverse of the team's share among the waiting teams.
+    /// Estimates the cost of the requests that would be served before a new request of \a team
+    /// with \a priority: all requests of higher classes, and the team's own queue in this class
+    /// divided by the team's share among the waiting teams.
     double costAhead(Priority priority, std::string_view team, double share) const;
 
 private:
@@ -64,7 +64,7 @@
         std::set<std::pair<Time, RequestId>> byDeadline;
         double share = 1;
         double virtualTime = 0; ///< executed cost divided by the share
-        double cost = 0; ///< of the waiting requests
+        double cost = 0; ///< total of the waiting requests
     };
     struct PriorityClass
     {
@@ -72,7 +72,7 @@
         std::set<std::pair<double, std::string>>
             active; ///< teams with waiting requests, by virtual time
         std::set<std::pair<Time, RequestId>> resumed;
-        double virtualTime = 0; ///< of the team served last
+        double virtualTime = 0; ///< virtual time of the team served last
         double cost = 0;
         double activeShare = 0;
     };
--- a/src/include/balsamloft/lease.h
+++ b/src/include/balsamloft/lease.h
@@ -9,15 +9,15 @@
 
 namespace balsamloft {
 
-/// Settings of a LeaseManager.
+/// Row, holder and times of a lease.
 struct LeaseSettings
 {
-    std::string key; ///< row of the lease
+    std::string key; ///< key of the lease's row
     std::string holder; ///< id of this process; differs between restarts of an instance
     Duration duration {9'000'000};
     Duration renewEvery {3'000'000};
     Duration pollEvery {3'000'000}; ///< how often processes without the lease read the row
-    Duration margin {1'000'000}; ///< wait beyond the duration before a takeover
+    Duration margin {1'000'000}; ///< additional wait of other processes before a takeover
 };
 
 // Actions
@@ -39,7 +39,8 @@
 
 /// Acquires and renews a lease. Clocks of different processes are never compared: the holder
 /// measures the duration from the time at which it sent the write, and another process takes
-/// over only after it has itself observed the row unchanged for longer than the duration.
+/// over only after it has observed the row unchanged for longer than the duration on its own
+/// clock.
 class LeaseManager
 {
 public:
@@ -61,7 +62,8 @@
     /// order, because the lease may have expired while the process was suspended.
     bool holds(Time now) const { return m_holding && now < m_heldUntil; }
 
-    /// The fencing token: increases with each change of the holder, valid while holds().
+    /// The fencing token, which increases with each change of the holder. Valid while holds()
+    /// returns true.
     std::uint64_t fencing() const { return m_fencing; }
     Time acquiredAt() const { return m_acquiredAt; }
     Time nextWakeup() const { return m_nextTick; }
@@ -82,12 +84,12 @@
     void write(std::uint64_t version, std::uint64_t fencing, bool release, Time now,
                LeaseActions &actions);
     void applyGrant(const Write &write, std::uint64_t version);
-    void lose();
+    void markLost();
 
     LeaseSettings m_settings;
     std::uint64_t m_nextId = 1;
     std::uint64_t m_readId = 0;
-    std::optional<Write> m_write; ///< in flight, or with unknown outcome
+    std::optional<Write> m_write; ///< write in flight or with unknown outcome
     bool m_holding = false;
     std::uint64_t m_fencing = 0;
     std::uint64_t m_rowVersion = 0;
--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -1,6 +1,6 @@
 /// \file
-/// Membership of instances, endpoints that are leaving, and demand per instance, from
-/// probes, gossip, the inventory and the platform.
+/// Tracks live instances, leaving endpoints and the demand at each instance, by probes, gossip,
+/// the inventory and the platform's instance list.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace balsamloft {
 
-/// Settings of a Membership.
+/// Identity of this instance, and intervals and limits of the membership protocol.
 struct MembershipSettings
 {
     std::string name;
@@ -24,18 +24,18 @@
     std::string address; ///< address that peers connect to
     std::uint64_t incarnation = 0; ///< higher than that of earlier processes of this name
     std::vector<std::string> seeds; ///< peer addresses
-    Duration probePeriod {1'000'000}; ///< between two probes
-    Duration ackTimeout {250'000}; ///< before the second ping, and again before indirect probes
+    Duration probePeriod {1'000'000}; ///< time between two probes
+    Duration ackTimeout {250'000}; ///< wait before the second ping, and before indirect probes
     Duration minSuspicion {5'000'000}; ///< minimum time from suspect to dead
     double suspicionFactor = 2; ///< suspicion time in probe periods, per log2 of the fleet size
-    Duration deadRetention {600'000'000}; ///< from leaving to dead, and from dead to erased
-    std::uint32_t indirectProbes = 3; ///< members asked to ping a member that did not answer
+    Duration deadRetention {600'000'000}; ///< time from leaving to dead, and from dead to erased
+    std::uint32_t indirectProbes = 3; ///< members that are asked to ping an unresponsive member
     std::size_t updatesPerMessage = 6;
     std::size_t demandsPerMessage = 8;
     std::uint32_t rejoinProbeEvery = 5; ///< probe periods between pings to unreachable addresses
 };
 
-/// Another instance, as seen by this instance.
+/// State of another instance according to the messages received so far.
 struct Member
 {
     MemberStatus status;
@@ -85,7 +85,7 @@
     void applyInstanceList(std::span<const ListedInstance> list, Time now,
                            MembershipActions &actions);
 
-    /// Adds the addresses of the inventory's instances to those where peers are searched.
+    /// Adds the addresses of the inventory's instances to those that are pinged to find peers.
     void setInventory(std::span<const Instance> instances);
 
     /// Records that an endpoint itself reported that it is shutting down.
@@ -142,7 +142,7 @@
     /// A ping that this instance sends on behalf of a peer's PingRequest.
     struct RelayedPing
     {
-        std::string requester; ///< address
+        std::string requester; ///< address of the peer that sent the PingRequest
         std::uint64_t requesterSequence = 0;
         Time receivedAt {};
     };
@@ -168,10 +168,10 @@
     MembershipSettings m_settings;
     std::minstd_rand m_random;
     MemberState m_state = MemberState::Alive;
-    std::map<std::string, Member> m_members; ///< others
+    std::map<std::string, Member> m_members; ///< the other instances, by name
     std::map<std::string, EndpointStatus> m_endpoints;
     std::map<std::string, PendingUpdate> m_pendingUpdates; ///< by "m/" + member or "e/" + endpoint
-    std::set<std::string> m_knownAddresses; ///< where peers may be found
+    std::set<std::string> m_knownAddresses; ///< addresses to ping in search of peers
     std::deque<std::string> m_probeOrder; ///< names of the members to probe next
     std::optional<Probe> m_probe;
     std::map<std::uint64_t, RelayedPing> m_relayedPings; ///< by sequence number of the relayed ping
--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -37,22 +37,22 @@
     bool immediate = false; ///< the source should answer at once instead of holding the query
 };
 
-/// Decides from which source this instance reads the store's tables. The first two
-/// responsive instances of a domain, by name, are its domain readers: the first reads the
-/// store, the second stands by and reads it while the first cannot. All other instances form
-/// a tree with a limited fan-out: each reads from an instance that precedes it by name, its
-/// parent, or from the parent's neighbour. If both are stale the instance waits, since new
-/// data reaches it through them as soon as the readers have it. Only if both are unresponsive
-/// does it read from its domain's readers, or from those of other domains.
+/// Decides from which source this instance reads the store's tables. The first two responsive
+/// instances of a domain, by name, are its domain readers: the first reads the store, the second
+/// stands by and reads it while the first cannot. All other instances form a tree with a limited
+/// fan-out: each reads from its parent, which precedes it by name, or from the parent's
+/// neighbour. If both are stale the instance waits, since new data reaches it through them as
+/// soon as the readers have it. Only if both are unresponsive does it read from its domain's
+/// readers, or from those of other domains.
 ///
-/// While the store fails, this limits its calls to two instances per domain. If instances
-/// switched from a stale source to the store, the whole fleet would call the store as soon as
-/// it failed for the readers, without any gain. Every answer carries its age, so data does
-/// not look newer after it has passed through several instances.
+/// While the store fails, at most two instances per domain call it. If instances with a stale
+/// source switched to the store, the whole fleet would call the store as soon as it failed for
+/// the readers, without getting newer data. Every answer carries its age, so data does not look
+/// newer after it has passed through several instances.
 ///
-/// An instance that gets no updates from any source reads the store itself: its sources are
-/// dead, slow or partitioned from it, and until they return it would serve requests by
-/// outdated data, or none at all.
+/// An instance that gets no updates from any source reads the store itself. Its sources are
+/// dead, slow or partitioned from it; until they recover it would route requests with outdated
+/// data, or refuse all requests if it has no data yet.
 class PeerDirectory
 {
 public:
@@ -69,8 +69,8 @@
     /// Records that the instance answered that it has no data of the table yet.
     void recordEmptyAnswer(const std::string &name, Time now);
 
-    /// Records an answer of the instance with the store's state \a age ago. \a direct: the
-    /// instance read it from the store itself.
+    /// Records an answer whose data was current \a age ago. \a direct: the answering instance
+    /// read the data from the store itself.
     void recordAnswer(const std::string &name, Duration age, bool direct, Time now);
 
     void storeFailed(Time now);
@@ -91,7 +91,7 @@
     /// The first readers of the other domains.
     std::vector<PeerInstance> remoteReaders(Time now) const;
 
-    /// Number of instances in the own domain, and in all domains; at least 1.
+    /// Number of listed instances in this instance's domain and in all domains; at least 1.
     std::size_t instancesInDomain() const;
     std::size_t instanceCount() const;
 
@@ -101,7 +101,7 @@
     {
         Time unresponsiveUntil {};
         Time staleUntil {};
-        std::uint32_t timeouts = 0; ///< consecutive
+        std::uint32_t timeouts = 0; ///< consecutive timeouts
     };
 
     bool lacksUpdates(Time now, Duration updateAge) const;
@@ -122,7 +122,7 @@
     Time m_staleAnswerAt {}; ///< last answer with data older than the maximum age
     Time m_emptyAnswerAt {}; ///< last answer of an instance that had no data yet
     Time m_storeRetryAt {};
-    std::uint32_t m_storeFailures = 0; ///< consecutive
+    std::uint32_t m_storeFailures = 0; ///< consecutive failures
 };
 
 } // namespace balsamloft
--- a/src/include/balsamloft/pollschedule.h
+++ b/src/include/balsamloft/pollschedule.h
@@ -11,13 +11,13 @@
 struct MemoryUsage
 {
     double used = 0;
-    double previousUsed = 0; ///< in the previous report
-    double capacity = 0; ///< memory left for requests beside the weights of the layers
+    double previousUsed = 0; ///< usage in the previous report
+    double capacity = 0; ///< memory that the layers' weights leave for requests
 };
 
-/// Returns the time from an engine's report until the next poll. An engine whose memory is
-/// filling up, or is already well used, is polled more often, so that instances stop sending
-/// to it before it runs out of memory.
+/// Returns the time from an engine's report until the next poll. An engine whose memory usage is
+/// high or changes quickly is polled more often, so that instances stop sending to it before it
+/// runs out of memory.
 Duration pollInterval(const MemoryUsage &usage);
 
 } // namespace balsamloft
--- a/src/include/balsamloft/ratelimits.h
+++ b/src/include/balsamloft/ratelimits.h
@@ -13,17 +13,17 @@
 
 namespace balsamloft {
 
-/// Settings of RateLimits.
+/// Lifetime of slots and limits.
 struct RateLimitSettings
 {
     /// How long a slot can be used after it begins. With a longer lifetime, fewer slots go
     /// unused at instances that seldom send to the endpoint, but the bursts get larger, since
     /// all unused slots can be used at once.
     Duration slotLifetime {1'000'000};
-    /// How long a limit applies after the last answer that announced it. Much longer where
-    /// many instances share the limit, see validityOf().
+    /// Minimum time for which a limit applies after the last answer that announced it.
+    /// validityOf() extends it where many instances share the limit.
     Duration limitValidity {10'000'000};
-    Duration probeInterval {1'000'000}; ///< between requests sent after a limit has expired
+    Duration probeInterval {1'000'000}; ///< time between requests sent after a limit has expired
 };
 
 /// Decides whether this instance may send a request to an endpoint that limits the requests
@@ -48,7 +48,7 @@
     void setInstances(std::span<const PeerInstance> all, const std::string &self,
                       const std::string &domain, Time now);
 
-    /// Sets what to add to the local time to get the clock that all instances share.
+    /// Sets the offset to add to the local time to get the clock that all instances share.
     void setClockOffset(Duration offset) { m_offset = offset; }
 
     /// Removes the limits of endpoints that are not in \a fleet.
@@ -64,7 +64,7 @@
 
     bool maySend(const std::string &endpoint, Time now) const;
 
-    /// The endpoints to which their limit allows no request now.
+    /// Endpoints whose limit allows no request from this instance now.
     std::set<std::string> blockedEndpoints(Time now) const;
 
     /// The number of endpoints with a limit.
@@ -72,7 +72,7 @@
 
 private:
     /// The number of instances that share a kind of slot round-robin, and the position of this
-    /// instance among them, if it is one of them.
+    /// instance among them, if it is included.
     struct Rotation
     {
         std::size_t count = 0;
@@ -83,11 +83,11 @@
     {
         double perSecond = 0;
         std::string domain;
-        Rotation endpointDomain; ///< for three of four slots
-        Rotation otherDomains; ///< for the remaining slots
+        Rotation endpointDomain; ///< owners of three of four slots
+        Rotation otherDomains; ///< owners of the other slots
         Time lastAnswerAt {};
         Time sentAt {};
-        double usedUntil = 0; ///< slots up to then are used up; seconds of the shared clock
+        double usedUntil = 0; ///< slots up to this shared time, in seconds, are used up
     };
 
     double sharedSeconds(Time now) const;
--- a/src/include/balsamloft/readfreshness.h
+++ b/src/include/balsamloft/readfreshness.h
@@ -19,19 +19,19 @@
 class ReadFreshness
 {
 public:
-    /// Records an answer that the store created at \a storeMs on its own clock, to a call
-    /// that was sent at \a sentAt and answered at \a arrivedAt. These two times are of a clock
-    /// that also runs while this process is suspended.
+    /// Records an answer that the store created at \a storeMs on its own clock, to a call that
+    /// was sent at \a sentAt and answered at \a arrivedAt. Both local times must come from a
+    /// clock that also runs while this process is suspended.
     void recordAnswer(Time sentAt, Time arrivedAt, std::int64_t storeMs);
 
-    /// Time at which the data read was current; nullopt before the first answer.
+    /// Time at which the last read data was current; nullopt before the first answer.
     std::optional<Time> knownAt() const { return m_knownAt; }
 
-    /// Discards the clock offset: the store's clock may start anew with the store.
+    /// Discards the clock offset, since a restart of the store may reset the store's clock.
     void resetClock() { m_offset.reset(); }
 
 private:
-    std::optional<Duration> m_offset; ///< lower bound of own time minus store's time
+    std::optional<Duration> m_offset; ///< lower bound of local time minus store time
     std::int64_t m_lastStoreMs = 0;
     std::optional<Time> m_knownAt;
 };
--- a/src/include/balsamloft/retrybudget.h
+++ b/src/include/balsamloft/retrybudget.h
@@ -9,7 +9,7 @@
 
 namespace balsamloft {
 
-/// Settings of a RetryBudget.
+/// Refill rates and size of a RetryBudget.
 struct RetryBudgetSettings
 {
     double perRequest = 0.1; ///< retries granted for each first attempt
@@ -18,8 +18,8 @@
     double initialBalance = -1; ///< retries available at the start; negative: maxBalance
 };
 
-/// A token bucket filled by first attempts. Without this bound, retries after the
-/// failure of many endpoints would overload the remaining ones, which then fail too.
+/// A token bucket filled by first attempts. Without this bound, retries after the failure of
+/// many endpoints would overload the remaining endpoints, so that these fail too.
 class RetryBudget
 {
 public:
@@ -38,21 +38,20 @@
     Time m_refilledAt {};
 };
 
-/// Settings of a RetryWindow.
+/// Length and allowance of a RetryWindow.
 struct RetryWindowSettings
 {
     Duration window {10'000'000}; ///< retries are bounded in any time span of this length
     double perRequest = 0.1; ///< retries granted for each request of the last window
-    double slack = 10; ///< retries granted in each window in addition
+    double slack = 10; ///< additional retries granted in each window
     /// Retries that a previous process of this instance may have made just before the
     /// start: subtracted from the slack during the first window.
     double spentBefore = 0;
 };
 
-/// Bounds the retries in any time span of a given length. A token bucket with the same
-/// bound would grant its saved retries once and afterwards only a share of the requests.
-/// This window grants the slack again in each span, which an outage of several seconds
-/// needs.
+/// Bounds the retries in any time span of a given length. A token bucket with the same bound
+/// would grant its saved retries only once, and then only a share of the requests. The window
+/// grants the slack again in each time span, which an outage of several seconds requires.
 class RetryWindow
 {
 public:
@@ -62,8 +61,8 @@
 
     void requestStarted(Time now);
 
-    /// Counts one retry. Returns false, without counting, unless a retry is left beyond
-    /// \a reserved, the share of the slack that is kept for more important requests.
+    /// Counts one retry if one is left in addition to \a reserved, the share of the slack that
+    /// is kept for more important requests. Returns whether the retry was counted.
     bool withdraw(Time now, double reserved = 0);
 
     void setSlack(double slack) { m_settings.slack = slack; }
@@ -75,7 +74,7 @@
     bool canWithdraw(Time now) const { return balance(now) >= 1; }
 
 private:
-    /// Counts of one slice of the window.
+    /// Requests and retries in one time slice of the window.
     struct Slice
     {
         Time begin {};
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -26,7 +26,7 @@
 {
     std::string name;
     double memoryMegabytes = 0;
-    double stepFactor = 1; ///< factor on the time of decode steps, context included
+    double stepFactor = 1; ///< factor on the time of decode steps and their context
     double prefillFactor = 1; ///< factor on the time of prompt processing
 };
 
@@ -43,7 +43,7 @@
     std::uint32_t tokensPerPass = 1; ///< decode steps in one pass through the engines
     double loadSeconds = 0; ///< to load all layers
     double activationBytes = 0; ///< sent from engine to engine for each token
-    double linkBytesPerMs = 0; ///< of a link between two failure domains; 0: unknown
+    double linkBytesPerMs = 0; ///< bandwidth between two failure domains; 0: unknown
     std::uint32_t typicalPromptTokens = 0;
     std::uint32_t typicalAnswerTokens = 0;
     std::vector<AcceleratorKind> kinds;
@@ -65,7 +65,8 @@
                    : 0;
     }
 
-    /// Time to transfer the activations of \a tokens between two failure domains, in sequence.
+    /// Time to transfer the activations of \a tokens, one after another, between two failure
+    /// domains.
     double transferMs(double tokens) const
     {
         return linkBytesPerMs > 0 ? tokens * activationBytes / linkBytesPerMs : 0;
@@ -76,7 +77,7 @@
 struct RoutedService
 {
     std::string name;
-    std::uint32_t maxConnections = 0; ///< of one endpoint, from all instances
+    std::uint32_t maxConnections = 0; ///< to one endpoint, from all instances together
     std::optional<LayeredModel> model; ///< set if the endpoints are engines that hold layers
 };
 
@@ -114,7 +115,7 @@
 struct RoutedTeam
 {
     std::string name;
-    std::optional<int> priority; ///< overrides the route's
+    std::optional<int> priority; ///< overrides the route's priority
 };
 
 /// Limits on the size and duration of callers' requests.
@@ -167,8 +168,8 @@
 
 using RouteMapPtr = std::shared_ptr<const RouteMap>;
 
-/// Builds a RouteMap. A route without a known service is left out and the reason is
-/// recorded, so that one invalid entry doesn't disable the others.
+/// Builds a RouteMap. A route without a known service is skipped and the reason is recorded, so
+/// that one invalid entry doesn't disable the others.
 class RouteMapBuilder
 {
 public:
@@ -181,15 +182,15 @@
     RouteMapBuilder &team(RoutedTeam team, const std::vector<std::string> &keys);
     RouteMapBuilder &limits(RequestLimits limits);
 
-    /// Reasons for the entries that were left out.
-    const std::vector<Reason> &leftOut() const { return m_leftOut; }
+    /// For each skipped route, its name and the reason.
+    const std::vector<Reason> &skippedRoutes() const { return m_skippedRoutes; }
 
     RouteMapPtr build();
 
 private:
     std::shared_ptr<RouteMap> m_map;
     std::vector<std::pair<Route, std::vector<std::pair<std::string, double>>>> m_pending;
-    std::vector<Reason> m_leftOut;
+    std::vector<Reason> m_skippedRoutes;
 };
 
 } // namespace balsamloft
--- a/src/include/balsamloft/router.h
+++ b/src/include/balsamloft/router.h
@@ -1,5 +1,7 @@
 /// \file
-/// The traffic core: all decisions on a request, from admission to its answer.
+/// The traffic core of balsamloftd: all decisions on a request, from admission to its answer.
+/// Requests are executed step by step on chains of engines. balsamloft-entry, which forwards
+/// complete requests, uses relay.h instead.
 
 #pragma once
 
@@ -14,20 +16,20 @@
 
 namespace balsamloft {
 
-/// Settings of the traffic core.
+/// Limits, timeouts and retry rules of the traffic core.
 struct RouterSettings
 {
     std::string domain; ///< failure domain of this instance
     std::size_t maxQueued = 10'000; ///< requests per model or service
     std::uint32_t maxTokens = 32'768; ///< upper bound of max_tokens
-    std::uint32_t maxAttempts = 6; ///< for one request, the first one included
+    std::uint32_t maxAttempts = 6; ///< attempts of one request, including the first
     Duration minStepTimeout {400'000}; ///< lower bound of the timeout of a decode step
-    Duration minPrefillTimeout {600'000}; ///< the same for the first pass of an attempt
-    Duration serviceCallTimeout {2'000'000}; ///< until a service call counts as unanswered
-    double stepTimeoutFactor = 6; ///< multiple of the expected time that a step may take
+    Duration minPrefillTimeout {600'000}; ///< lower bound of the timeout of an attempt's first pass
+    Duration serviceCallTimeout {2'000'000}; ///< timeout of a call to a plain service
+    double stepTimeoutFactor = 6; ///< timeout of a step in multiples of its expected time
     std::uint32_t maxSilentPeriods = 4; ///< timeouts tolerated for a non-idempotent request
     Duration retryBackoff {50'000}; ///< base of the exponential backoff
-    Duration endpointCheckInterval {1'000'000}; ///< between searches for endpoints to probe
+    Duration endpointCheckInterval {1'000'000}; ///< time between searches for endpoints to probe
     Duration dispatchInterval {20'000}; ///< longest time between two dispatches of queued requests
     LoadSettings load;
     RoutingSettings routing;
@@ -53,9 +55,9 @@
 /// Tokens requested of each model since the process started, refused requests included.
 using ModelDemand = std::map<std::string, double>;
 
-/// Makes all decisions on the requests of one traffic thread. Performs no I/O: each
-/// command takes an event and the current time and appends the actions that the caller
-/// has to carry out. Not thread-safe.
+/// Makes all decisions on the requests of one traffic thread. Performs no I/O: each command
+/// takes an event and the current time and appends the actions that the I/O layer has to carry
+/// out. Not thread-safe.
 class Router
 {
 public:
@@ -68,7 +70,8 @@
 
     void setConfig(ConfigPtr config, Time now, Actions &actions);
 
-    /// Sets whether the membership reports \a endpoint as leaving. It gets no new requests then.
+    /// Sets whether the membership reports \a endpoint as leaving. A leaving endpoint gets no
+    /// new requests.
     void setLeaving(std::string_view endpoint, bool leaving);
     TeamLimits &limits();
 
@@ -76,7 +79,8 @@
     void claimAnswered(RequestId request, const ClaimAnswer &answer, Time now, Actions &actions);
     void stepAnswered(const StepRef &awaited, const StepAnswer &answer, Time now, Actions &actions);
 
-    /// The step \a awaited failed. \a load is the endpoint's load report, if it sent one.
+    /// Handles the failure of the step \a awaited. \a load is the endpoint's load report, if it
+    /// sent one.
     void stepFailed(const StepRef &awaited, FailureKind kind, const std::optional<LoadReport> &load,
                     Time now, Actions &actions);
     void callAnswered(RequestId request, std::uint32_t attempt, Answer answer, Time now,
@@ -84,7 +88,8 @@
     void callFailed(RequestId request, std::uint32_t attempt, FailureKind kind, Time now,
                     Actions &actions);
 
-    /// A probe was answered (\a alive) or failed. \a leaving is the state in the answer.
+    /// Handles a probe that was answered (\a alive) or failed. \a leaving: the answer reports
+    /// that the endpoint is shutting down.
     void probeFinished(EndpointId endpoint, bool alive, bool leaving, Time now, Actions &actions);
     void callerGone(RequestId request, Time now, Actions &actions);
 
@@ -98,9 +103,9 @@
 
     std::optional<Time> nextWakeup() const;
 
-    /// Whether a step or call may still be sent. Adapters check this right before they
-    /// write: if the process was paused after the decision, the attempt may have been
-    /// abandoned or its deadline may have passed.
+    /// Whether a step or call may still be sent. The I/O layer checks this right before it
+    /// writes: if the process was paused after the decision, the attempt may have been abandoned
+    /// or its deadline may have passed.
     bool maySend(RequestId request, std::uint32_t attempt, Time now) const;
 
     const LoadView &loads() const;
--- a/src/include/balsamloft/routing.h
+++ b/src/include/balsamloft/routing.h
@@ -36,11 +36,11 @@
 struct RoutingSettings
 {
     RoutingPolicy policy = RoutingPolicy::Default;
-    double affinityMaxUtilization = 0.95; ///< share of used slots up to which owners are preferred
-    double affinityCostTolerance = 3; ///< relative extra cost accepted of an owner with hit rate 1
-    Duration defaultStepTime {30'000}; ///< assumed until an endpoint reports its own
+    double affinityMaxUtilization = 0.95; ///< share of used slots up to which owners get requests
+    double affinityCostTolerance = 3; ///< relative extra cost accepted for an owner with hit rate 1
+    Duration defaultStepTime {30'000}; ///< assumed until an endpoint reports its step time
     Duration prefillPerToken {200}; ///< at an endpoint of speed 1, over all layers
-    std::uint32_t alertOvercommit = 2; ///< alerts that a full endpoint gets; it runs them first
+    std::uint32_t alertOvercommit = 2; ///< alerts that a full endpoint gets and runs first
 };
 
 /// Requirements of one request on its chain.
@@ -49,9 +49,9 @@
     Priority priority = Priority::Normal;
     std::uint64_t prefixHash = 0; ///< zero: no affinity
     std::uint32_t promptTokens = 0;
-    EndpointId avoid = NoEndpoint; ///< used only if there is no chain without it
-    double tokens = 0; ///< expected to be generated
-    Duration timeLeft = Duration::max(); ///< to the deadline
+    EndpointId avoid = NoEndpoint; ///< endpoint used only if there is no chain without it
+    double tokens = 0; ///< expected number of generated tokens
+    Duration timeLeft = Duration::max(); ///< time left until the deadline
 };
 
 /// The endpoints that can execute one model or service, grouped by version and layer
@@ -66,10 +66,10 @@
         std::vector<EndpointId> members;
         std::vector<double> cumulativeWeight; ///< of members, for weighted random draws
         std::vector<std::pair<std::uint64_t, std::uint32_t>> ring; ///< hash, index in members
-        std::vector<EndpointId> reservedForAlerts; ///< members that only alerts use
+        std::vector<EndpointId> reservedForAlerts; ///< members that get alerts only
     };
 
-    /// The groups of one version.
+    /// The groups of one model version.
     struct VersionGroups
     {
         std::string version;
@@ -85,7 +85,7 @@
     static CandidateTable forService(const Config &config, const Service &service,
                                      const LoadView &loads, std::string_view domain);
 
-    /// The versions, the one that the rules request first.
+    /// All versions; the version that the rules request comes first.
     std::span<const VersionGroups> versions() const { return m_versions; }
 
 private:
@@ -103,8 +103,8 @@
 public:
     ChainChooser(RoutingSettings settings, std::string domain, std::uint64_t seed);
 
-    /// Fills \a chain with stages of one version that cover each layer exactly once
-    /// and have a free slot each. Returns false if there is no such chain.
+    /// Fills \a chain with stages of one model version that have a free slot each and together
+    /// cover each layer exactly once. Returns false if there is no such chain.
     bool choose(const CandidateTable &table, const LoadView &loads, const RouteQuery &query,
                 Time now, Chain &chain);
 
@@ -157,7 +157,7 @@
     std::array<std::uint32_t, 4096> m_prefixCounts {}; ///< recent requests, by prefix hash
     std::uint32_t m_prefixTotal = 0;
     std::vector<Duration> m_latency; ///< one way, by EndpointId
-    std::vector<double> m_bestCost; ///< buffer, by layer boundary
+    std::vector<double> m_bestCost; ///< buffer: lowest cost, by layer boundary
     std::vector<std::pair<std::size_t, Pick>> m_bestPick; ///< buffer: index of the group and pick
 };
 
--- a/src/include/balsamloft/tablecopy.h
+++ b/src/include/balsamloft/tablecopy.h
@@ -57,9 +57,9 @@
     /// Returns the rows that changed after version \a after, oldest first, each in its current
     /// version; nullopt if the history does not reach back that far.
     ///
-    /// Intermediate versions are left out: a configuration may be written ten times a second,
-    /// and sending every version would saturate the link of the instance that updates the
-    /// others. These would time out and serve callers by an outdated configuration.
+    /// Intermediate versions are omitted: a configuration may be written ten times a second, and
+    /// sending every version would saturate the link of the instance that updates the others.
+    /// The others would time out and serve callers with an outdated configuration.
     std::optional<std::vector<StoreRow>> changesSince(std::uint64_t after) const;
 
 private:
--- a/src/include/balsamloft/teamlimits.h
+++ b/src/include/balsamloft/teamlimits.h
@@ -18,7 +18,7 @@
 class TeamLimits
 {
 public:
-    enum class Verdict : std::uint8_t { Admitted, RateExceeded, ConcurrencyExceeded };
+    enum class AdmissionResult : std::uint8_t { Admitted, RateExceeded, ConcurrencyExceeded };
 
     // Commands
 
@@ -27,9 +27,9 @@
     void setFractions(LimitFractions fractions) { m_fractions = std::move(fractions); }
 
     /// Admits and counts a request of \a team if its limits allow it.
-    Verdict admit(const Team &team, Time now);
+    AdmissionResult admit(const Team &team, Time now);
 
-    /// Ends a request that admit() had admitted.
+    /// Records the end of a request that admit() admitted.
     void finished(std::string_view team);
 
     // Queries
--- a/src/include/balsamloft/types.h
+++ b/src/include/balsamloft/types.h
@@ -23,15 +23,15 @@
 /// Milliseconds since the Unix epoch, for records that are kept across restarts.
 using WallMillis = std::int64_t;
 
-/// Returns \a initial doubled \a doublings times, but at most \a max: the pause after that
-/// many consecutive failures.
+/// Returns the pause after \a doublings consecutive failures: \a initial doubled as many times,
+/// but at most \a max.
 Duration exponentialBackoff(Duration initial, std::uint32_t doublings, Duration max);
 
 /// Human-readable reason for a failure. Functions that return false or an empty result
 /// store it in an out parameter.
 using Reason = std::string;
 
-/// Scheduling class of a request. A smaller value goes first.
+/// Scheduling class of a request. Requests with a smaller value are served first.
 enum class Priority : std::uint8_t { Alert = 0, Normal = 1, Batch = 2 };
 
 /// Number of scheduling classes.
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -104,7 +104,7 @@
         const auto it = m_claims.find(owner);
         if (it == m_claims.end())
             continue;
-        if (it->second.abandoned && !it->second.mayExist) {
+        if (it->second.abandoned && !it->second.rowMayExist) {
             m_claims.erase(it);
             continue;
         }
@@ -215,7 +215,7 @@
         const auto it = m_claims.find(owner);
         if (it == m_claims.end())
             continue;
-        it->second.mayExist = true;
+        it->second.rowMayExist = true;
         readRow(it->second, actions);
     }
     for (Resolution &resolution : batch.resolutions) {
@@ -355,7 +355,7 @@
     for (auto &[owner, claim] : m_claims) {
         if (!claim.abandoned && claim.deadline <= now) {
             expire(claim, actions);
-            if (!claim.mayExist && claim.retryAt != Time {}) {
+            if (!claim.rowMayExist && claim.retryAt != Time {}) {
                 expired.push_back(owner);
                 continue;
             }
@@ -363,7 +363,7 @@
         if (claim.retryAt == Time {} || claim.retryAt > now)
             continue;
         claim.retryAt = Time {};
-        if (claim.mayExist)
+        if (claim.rowMayExist)
             readRow(claim, actions);
         else
             m_queue.push_back(owner);
--- a/src/libbalsamloft/claims_test.cpp
+++ b/src/libbalsamloft/claims_test.cpp
@@ -1,4 +1,4 @@
-// Claims of keys during faults of the table service, step by step.
+// Claims of idempotency keys during faults of the table service.
 
 #include "../fakes/tablemodel.h"
 
@@ -42,10 +42,10 @@
 TEST_CASE("a repeated release whose answer was lost does not free a later claim",
           "[claims][failure]")
 {
-    // Instance a releases a key. The write takes effect, but its answer is lost. Instance b
-    // claims the key and executes the request. Then a repeats its write. If the write met
-    // the condition on b's row, it would free the key, and the request could be executed a
-    // second time.
+    // Instance "a" releases a key. The write takes effect, but its answer is lost. Instance "b"
+    // claims the key and executes the request. Then instance "a" repeats its write. If the row
+    // still met the version check of that write, the key would be freed, and the request could
+    // be executed a second time.
     TableModel tables;
     ClaimManager a({.instance = "a"});
     ClaimManager b({.instance = "b"});
@@ -112,9 +112,9 @@
 TEST_CASE("the number of unwritten resolutions is bounded while the table is down",
           "[claims][failure]")
 {
-    // Guards against memory that grows during a long outage of the table. Callers have their
-    // answers already. A retry with one of the oldest keys is refused with an unknown
-    // outcome, since its row stays claimed.
+    // Guards against memory that grows during a long outage of the table. The requests have been
+    // answered already. A retry with one of the oldest keys is refused with an unknown outcome,
+    // since its row stays claimed.
     ClaimManager manager({.instance = "a", .batchSize = 1, .maxPendingResolutions = 5});
     TableModel tables;
     ClaimActions actions;
--- a/src/libbalsamloft/configchain.cpp
+++ b/src/libbalsamloft/configchain.cpp
@@ -83,7 +83,7 @@
         const bool matches =
             edit.before ? it != result.end() && it->second == *edit.before : it == result.end();
         if (!matches) {
-            reason = edit.path + ": does not have the value that the change expects";
+            reason = edit.path + ": the entry does not have the value that the change replaces";
             return false;
         }
         if (edit.after)
--- a/src/libbalsamloft/configparse.cpp
+++ b/src/libbalsamloft/configparse.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr double MaxCount = 1e6;
+constexpr double MaxAmount = 1e6;
 constexpr double MaxRate = 1e9;
 constexpr double ShareTolerance = 1e-9;
 constexpr Duration DefaultLatency {1000};
@@ -46,20 +46,20 @@
                                            std::span<const Section> sections,
                                            std::vector<Problem> &problems)
 {
-    const std::string place(document);
+    const std::string documentPath(document);
     if (text.size() > MaxDocumentBytes) {
-        problems.push_back({place, std::to_string(text.size()) + " bytes",
+        problems.push_back({documentPath, std::to_string(text.size()) + " bytes",
                             "must be at most " + std::to_string(MaxDocumentBytes) + " bytes"});
         return std::nullopt;
     }
     Reason reason;
     const auto value = parseJson(text, reason);
     if (!value || !value->is_object()) {
-        problems.push_back({place, "", value ? "must be a JSON object" : reason});
+        problems.push_back({documentPath, "", value ? "must be a JSON object" : reason});
         return std::nullopt;
     }
     const std::size_t problemsBefore = problems.size();
-    ObjectReader reader(value->get_object(), place, problems);
+    ObjectReader reader(value->get_object(), documentPath, problems);
     ConfigEntries entries;
     for (const Section &section : sections) {
         const json::array *items = reader.array(section.list);
@@ -67,7 +67,7 @@
             continue;
         for (std::size_t i = 0; i < items->size(); ++i) {
             const std::string itemPath =
-                place + "." + std::string(section.list) + "[" + std::to_string(i) + "]";
+                documentPath + "." + std::string(section.list) + "[" + std::to_string(i) + "]";
             const json::object *object = (*items)[i].if_object();
             if (!object) {
                 problems.push_back({itemPath, "", "must be an object"});
@@ -77,7 +77,7 @@
             const std::string name = entryName(itemReader, section.named);
             if (name.find('/') != std::string::npos)
                 itemReader.problem("name", "must not contain '/'");
-            std::string key = place + "/" + std::string(section.list) + "/" + name;
+            std::string key = documentPath + "/" + std::string(section.list) + "/" + name;
             if (!entries.emplace(std::move(key), canonicalJson((*items)[i])).second)
                 itemReader.problem("name", "is a duplicate; names must be unique");
         }
@@ -137,7 +137,7 @@
     void applyPlacements();
     static std::optional<LayerRange> readLayers(ObjectReader &reader);
 
-    void checkDomain(const std::string &place, const std::string &domain);
+    void checkDomain(const std::string &entryPath, const std::string &domain);
     void checkEndpoints();
     void checkLayerCoverage();
     void checkTeams();
@@ -212,7 +212,7 @@
 {
     Accelerator accelerator;
     accelerator.name = reader.requiredText("name");
-    accelerator.memoryGigabytes = reader.number("memory_gb", 0, 0, MaxCount);
+    accelerator.memoryGigabytes = reader.number("memory_gb", 0, 0, MaxAmount);
     accelerator.tokensPerSecond = reader.number("tokens_per_s", 0, 0, MaxRate);
     index("a/", accelerator.name, m_config.m_accelerators.size());
     m_config.m_accelerators.push_back(std::move(accelerator));
@@ -239,8 +239,8 @@
     if (!isIpAndPort(endpoint.address))
         reader.problem("address", "must be IP:port");
     endpoint.domain = reader.requiredText("domain");
-    endpoint.slots = static_cast<std::uint32_t>(reader.number("slots", 1, 1, MaxCount));
-    endpoint.speed = reader.number("speed", 1, 1e-3, MaxCount);
+    endpoint.slots = static_cast<std::uint32_t>(reader.number("slots", 1, 1, MaxAmount));
+    endpoint.speed = reader.number("speed", 1, 1e-3, MaxAmount);
     if (endpoint.kind == EndpointKind::Service) {
         endpoint.service = reader.requiredText("service");
     } else {
@@ -268,7 +268,7 @@
         return value && value->is_int64() ? value->get_int64() : -1;
     };
     if (layers->size() != 2 || bound(0) < 0 || bound(1) <= bound(0)
-        || bound(1) > static_cast<std::int64_t>(MaxCount)) {
+        || bound(1) > static_cast<std::int64_t>(MaxAmount)) {
         reader.problem("layers", "must be [first, last + 1], for example [0, 16]");
         return LayerRange {};
     }
@@ -293,13 +293,13 @@
     Model model;
     model.name = reader.requiredText("name");
     model.version = reader.text("version", "1");
-    model.layers = static_cast<std::uint32_t>(reader.number("layers", 0, 1, MaxCount));
+    model.layers = static_cast<std::uint32_t>(reader.number("layers", 0, 1, MaxAmount));
     if (model.layers == 0)
         reader.problem("layers", "must be at least 1");
-    model.weightGigabytes = reader.number("weight_gb", 0, 0, MaxCount);
+    model.weightGigabytes = reader.number("weight_gb", 0, 0, MaxAmount);
     model.nonIdempotent = reader.boolean("non_idempotent", false);
     model.alertEndpoints =
-        static_cast<std::uint32_t>(reader.number("alert_endpoints", 0, 0, MaxCount));
+        static_cast<std::uint32_t>(reader.number("alert_endpoints", 0, 0, MaxAmount));
     model.scaleToZero = reader.boolean("scale_to_zero", false);
     index("m/", model.name, m_config.m_models.size());
     m_config.m_models.push_back(std::move(model));
@@ -344,31 +344,31 @@
         reader.problem("max_priority", "must be \"alert\", \"normal\" or \"batch\"");
     team.requestsPerSecond = reader.number("requests_per_s", 0, 0, MaxRate);
     team.maxConcurrent =
-        static_cast<std::uint32_t>(reader.number("max_concurrent", 0, 0, MaxCount));
+        static_cast<std::uint32_t>(reader.number("max_concurrent", 0, 0, MaxAmount));
     index("t/", team.name, m_config.m_teams.size());
     index("k/", team.tokenSha256, m_config.m_teams.size());
     m_config.m_teams.push_back(std::move(team));
 }
 
-void ConfigCompiler::checkDomain(const std::string &place, const std::string &domain)
+void ConfigCompiler::checkDomain(const std::string &entryPath, const std::string &domain)
 {
     if (!m_config.m_index.contains("d/" + domain))
-        m_problems.push_back({place, domain, "must be one of the inventory's domains"});
+        m_problems.push_back({entryPath, domain, "must be one of the inventory's domains"});
 }
 
 void ConfigCompiler::checkEndpoints()
 {
     for (const Endpoint &endpoint : m_config.m_endpoints) {
-        const std::string place = "inventory/endpoints/" + endpoint.name;
-        checkDomain(place + ".domain", endpoint.domain);
+        const std::string entryPath = "inventory/endpoints/" + endpoint.name;
+        checkDomain(entryPath + ".domain", endpoint.domain);
         if (endpoint.kind == EndpointKind::Service) {
             if (!m_config.m_services.empty() && !m_config.service(endpoint.service))
                 m_problems.push_back(
-                    {place + ".service", endpoint.service, "must be a service of the rules"});
+                    {entryPath + ".service", endpoint.service, "must be a service of the rules"});
             continue;
         }
         if (!endpoint.accelerator.empty() && !m_config.accelerator(endpoint.accelerator))
-            m_problems.push_back({place + ".accelerator", endpoint.accelerator,
+            m_problems.push_back({entryPath + ".accelerator", endpoint.accelerator,
                                   "must be one of the inventory's accelerators"});
         // The inventory may be loaded before the rules. Its models are then checked once the
         // rules are loaded.
@@ -377,10 +377,10 @@
         const Model *model = m_config.model(endpoint.model);
         if (!model)
             m_problems.push_back(
-                {place + ".model", endpoint.model, "must be a model of the rules"});
+                {entryPath + ".model", endpoint.model, "must be a model of the rules"});
         else if (endpoint.layers.end > model->layers)
             m_problems.push_back(
-                {place + ".layers", std::to_string(endpoint.layers.end),
+                {entryPath + ".layers", std::to_string(endpoint.layers.end),
                  "must end at or before the model's " + std::to_string(model->layers) + " layers"});
     }
 }
@@ -404,8 +404,8 @@
         if (isHeld && !reachable.contains(model.layers))
             m_problems.push_back({"rules/models/" + model.name + ".layers",
                                   std::to_string(*reachable.rbegin()),
-                                  "the endpoints of this model leave a gap: no chain of them "
-                                  "covers layers 0 to "
+                                  "the model's endpoints do not hold all its layers: no chain "
+                                  "of endpoints covers layers 0 to "
                                       + std::to_string(model.layers)});
     }
 }
--- a/src/libbalsamloft/control_test.cpp
+++ b/src/libbalsamloft/control_test.cpp
@@ -63,11 +63,11 @@
     checkNoRegression(harness);
 }
 
-TEST_CASE("concurrent proposals that edit the same entry: one is rejected as a conflict",
+TEST_CASE("one of two concurrent proposals that edit the same entry is rejected as a conflict",
           "[control][failure]")
 {
-    // Two operators edit the same entry at the same time. One proposal is accepted, the other
-    // gets a conflict that lists the entry.
+    // Two operators edit the same entry at the same time. One proposal is accepted, the other is
+    // rejected with a conflict that lists the entry.
     ControlHarness harness = harnessAtVersion1(8);
     harness.propose(1, ControlHarness::teamProposal("x1", "x", 0.1));
     harness.propose(2, ControlHarness::teamProposal("x2", "x", 0.2));
@@ -75,11 +75,11 @@
     harness.runFor(std::chrono::seconds(5));
     const auto first = harness.node(1).outcomes["x1"].kind;
     const auto second = harness.node(2).outcomes["x2"];
-    const auto &loser = first == Kind::Accepted ? second : harness.node(1).outcomes["x1"];
+    const auto &rejected = first == Kind::Accepted ? second : harness.node(1).outcomes["x1"];
     CHECK((first == Kind::Accepted) != (second.kind == Kind::Accepted));
-    CHECK(loser.kind == Kind::Conflict);
-    CHECK(loser.conflicts == std::vector<std::string> {"rules/teams/x"});
-    CHECK(harness.node(0).installed == 2);
+    CHECK(rejected.kind == Kind::Conflict);
+    CHECK(rejected.conflicts == std::vector<std::string> {"rules/teams/x"});
+    CHECK(harness.node(0).installedVersion == 2);
 }
 
 TEST_CASE("a commit whose answer is lost is accepted once", "[control][failure]")
@@ -94,7 +94,7 @@
     CHECK(harness.node(3).outcomes["x"].kind == Kind::Accepted);
     CHECK(harness.node(3).outcomes["x"].head.version == 2);
     for (std::size_t i = 0; i < harness.size(); ++i)
-        CHECK(harness.node(i).installed == 2);
+        CHECK(harness.node(i).installedVersion == 2);
 }
 
 TEST_CASE("a lost commit answer followed by a platform outage is reported as unknown",
@@ -125,7 +125,7 @@
     CHECK(harness.node(3).outcomes["x"].kind == Kind::Unavailable);
     harness.platformDown = false;
     harness.runFor(std::chrono::seconds(10));
-    CHECK(harness.node(0).installed == 1);
+    CHECK(harness.node(0).installedVersion == 1);
 }
 
 TEST_CASE("a partitioned domain catches up after the partition heals", "[control][failure]")
@@ -143,8 +143,8 @@
         harness.propose(1, ControlHarness::teamProposal(name, name, 0.05));
         harness.runFor(std::chrono::seconds(30));
     }
-    CHECK(harness.node(1).installed == 6);
-    CHECK(harness.node(0).installed == 1);
+    CHECK(harness.node(1).installedVersion == 6);
+    CHECK(harness.node(0).installedVersion == 1);
     for (std::size_t i = 0; i < 24; i += 6) {
         harness.node(i).partition = 0;
         harness.node(i).platformReachable = true;
@@ -172,11 +172,11 @@
     harness.propose(0, ControlHarness::teamProposal("x", "x", 0.1));
     harness.runFor(std::chrono::seconds(20));
     harness.platformDown = true;
-    const std::size_t fresh = harness.addNode();
-    harness.node(fresh).partition = 1;
-    CHECK(harness.node(fresh).installed == 0);
+    const std::size_t newNode = harness.addNode();
+    harness.node(newNode).partition = 1;
+    CHECK(harness.node(newNode).installedVersion == 0);
     harness.runFor(std::chrono::seconds(60));
-    CHECK(harness.node(fresh).installed == 1);
+    CHECK(harness.node(newNode).installedVersion == 1);
     for (std::size_t i = 0; i < harness.size(); ++i)
         harness.node(i).partition = 0;
     REQUIRE(harness.timeToVersion(2, std::chrono::seconds(60)));
@@ -193,16 +193,16 @@
         const std::string name = "t" + std::to_string(i);
         harness.propose(0, ControlHarness::teamProposal(name, name, 0.001));
         harness.runFor(std::chrono::milliseconds(100));
-        if (harness.node(0).installed == 105)
+        if (harness.node(0).installedVersion == 105)
             old = harness.objects()[std::string(SnapshotObject)];
     }
     harness.runFor(std::chrono::seconds(20));
-    REQUIRE(harness.node(0).installed == 321);
+    REQUIRE(harness.node(0).installedVersion == 321);
     REQUIRE_FALSE(old.empty());
     harness.objects()[std::string(SnapshotObject)] = old;
-    const std::size_t fresh = harness.addNode();
+    const std::size_t newNode = harness.addNode();
     REQUIRE(harness.timeToVersion(321, std::chrono::seconds(60)));
-    CHECK(harness.node(fresh).config.head() == harness.node(0).config.head());
+    CHECK(harness.node(newNode).config.head() == harness.node(0).config.head());
     checkNoRegression(harness);
 }
 
@@ -228,8 +228,8 @@
 TEST_CASE("leaving overrides older list entries until a new generation appears",
           "[control][failure]")
 {
-    // All instances mark a leaving endpoint within seconds. An outdated list read by one of
-    // them does not revert this, but a new process under the same name does.
+    // All instances mark a leaving endpoint within seconds. An outdated list read by one of them
+    // does not revert the mark, but a new process under the same name does.
     ControlHarness harness = harnessAtVersion1(64, 0.1);
     harness.applyInstanceList(3, {{"e1", "", 5, false}});
     harness.runFor(std::chrono::seconds(20));
--- a/src/libbalsamloft/instancelist.cpp
+++ b/src/libbalsamloft/instancelist.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Age at which a row expires and its instance counts as dead: the instance, which writes its
-/// row every 25 s, has then missed two writes.
+/// Age at which a row expires and its instance counts as dead. Instances write their rows every
+/// 25 s, so two writes are missing by then.
 constexpr std::int64_t RowLifetimeMs = 60'000;
 
-/// A longer time between two updates means an outage of the store: queries for the rows are
-/// answered within 10 s and repeated 5 s later.
+/// A longer time between two updates of the list means an outage of the store: otherwise a query
+/// is answered within 10 s, and the next query follows 5 s later.
 constexpr std::int64_t MinOutageMs = 16'500;
 
 } // namespace
--- a/src/libbalsamloft/jsonreader.cpp
+++ b/src/libbalsamloft/jsonreader.cpp
@@ -81,8 +81,9 @@
 
 void ObjectReader::problem(std::string_view key, std::string advice)
 {
-    const auto place = key.empty() ? m_path : m_path + "." + std::string(key);
-    m_problems.push_back({place, abbreviatedValue(m_object.if_contains(key)), std::move(advice)});
+    const auto problemPath = key.empty() ? m_path : m_path + "." + std::string(key);
+    m_problems.push_back(
+        {problemPath, abbreviatedValue(m_object.if_contains(key)), std::move(advice)});
 }
 
 std::string ObjectReader::requiredText(std::string_view key)
--- a/src/libbalsamloft/lease.cpp
+++ b/src/libbalsamloft/lease.cpp
@@ -44,7 +44,7 @@
 {
 }
 
-void LeaseManager::lose()
+void LeaseManager::markLost()
 {
     m_holding = false;
     m_heldUntil = Time {};
@@ -53,7 +53,7 @@
 void LeaseManager::tick(Time now, LeaseActions &actions)
 {
     if (m_holding && now >= m_heldUntil)
-        lose();
+        markLost();
     if (now < m_nextTick)
         return;
     m_nextTick = now + (m_holding ? m_settings.renewEvery : m_settings.pollEvery);
@@ -102,7 +102,7 @@
         break;
     case TransactionOutcome::Kind::Conflict:
         m_write.reset();
-        lose();
+        markLost();
         break;
     case TransactionOutcome::Kind::NotCommitted:
         m_write.reset();
@@ -114,7 +114,7 @@
         break;
     }
     if (m_holding && now >= m_heldUntil)
-        lose();
+        markLost();
 }
 
 void LeaseManager::readDone(std::uint64_t id, const ReadOutcome &outcome, Time now,
@@ -140,18 +140,18 @@
             return applyGrant(pending, version);
         m_write.reset();
         if (version != pending.base || row.holder != m_settings.holder)
-            lose();
+            markLost();
     }
     if (m_holding)
         return;
-    // This process's own expired lease, with the row unchanged since: no other process held
-    // the lease in between, so it can be acquired again without waiting.
-    const bool own = found && row.holder == m_settings.holder && version == m_rowVersion;
-    const bool free = !found || row.holder.empty() || own;
-    // The row version is unchanged since m_versionSeenAt, so the holder has not renewed.
-    // Pauses between this process's reads only make it wait longer.
-    const bool lapsed = now - m_versionSeenAt >= m_settings.duration + m_settings.margin;
-    if (free || lapsed)
+    // If the row still has the version that this process wrote, no other process has held the
+    // lease since it expired, so this process can acquire it again without waiting.
+    const bool ownExpired = found && row.holder == m_settings.holder && version == m_rowVersion;
+    const bool free = !found || row.holder.empty() || ownExpired;
+    // The row version is unchanged since m_versionSeenAt, so the holder has not renewed the
+    // lease since. Pauses between the reads of this process only prolong its wait.
+    const bool expired = now - m_versionSeenAt >= m_settings.duration + m_settings.margin;
+    if (free || expired)
         write(version, row.fencing + 1, false, now, actions);
 }
 
--- a/src/libbalsamloft/lease_test.cpp
+++ b/src/libbalsamloft/lease_test.cpp
@@ -89,8 +89,8 @@
           "[lease][failure]")
 {
     // The holder no longer reaches the table. The other process takes over only after it has
-    // observed the row unchanged for longer than the lease duration, so there is a time without
-    // a holder, but never one with two.
+    // observed the row unchanged for longer than the lease duration, so the lease may have no
+    // holder for some seconds, but never two.
     TableModel tables;
     Process a(tables, "a");
     Process b(tables, "b");
@@ -132,7 +132,7 @@
 TEST_CASE("a process suspended past its lease does not hold it on resumption", "[lease][failure]")
 {
     // The holder is suspended from second 20 to second 50. Right after resumption, before its
-    // first tick, it must not regard itself as the holder.
+    // first tick, holds() must return false.
     TableModel tables;
     Process a(tables, "a");
     Process b(tables, "b");
--- a/src/libbalsamloft/limits_test.cpp
+++ b/src/libbalsamloft/limits_test.cpp
@@ -36,7 +36,8 @@
 
 } // namespace
 
-TEST_CASE("queue order: priority class, resumed requests, deadline within a team", "[queue]")
+TEST_CASE("requests are ordered by priority class, then resumed ones, then deadline in a team",
+          "[queue]")
 {
     FairQueue queue;
     queue.push(item(1, "a", 1, 5, Priority::Batch));
@@ -99,10 +100,11 @@
     limits.setDefaultFraction(0.5);
     int admitted = 0;
     for (int i = 0; i < 1000; ++i)
-        admitted += limits.admit(team, at(i * 0.01)) == TeamLimits::Verdict::Admitted ? 1 : 0;
+        admitted +=
+            limits.admit(team, at(i * 0.01)) == TeamLimits::AdmissionResult::Admitted ? 1 : 0;
     CHECK(admitted == Approx(55).margin(2)); // 10 s at 5/s and a burst of one second
     int denials = 0;
-    while (limits.admit(team, at(10)) == TeamLimits::Verdict::Admitted && denials < 20)
+    while (limits.admit(team, at(10)) == TeamLimits::AdmissionResult::Admitted && denials < 20)
         ++denials;
     const Duration wait = limits.retryAfter(team, at(10));
     CHECK(wait > Duration::zero());
@@ -116,11 +118,11 @@
     team.name = "t";
     team.maxConcurrent = 4;
     limits.setDefaultFraction(0.5);
-    CHECK(limits.admit(team, at(0)) == TeamLimits::Verdict::Admitted);
-    CHECK(limits.admit(team, at(0)) == TeamLimits::Verdict::Admitted);
-    CHECK(limits.admit(team, at(0)) == TeamLimits::Verdict::ConcurrencyExceeded);
+    CHECK(limits.admit(team, at(0)) == TeamLimits::AdmissionResult::Admitted);
+    CHECK(limits.admit(team, at(0)) == TeamLimits::AdmissionResult::Admitted);
+    CHECK(limits.admit(team, at(0)) == TeamLimits::AdmissionResult::ConcurrencyExceeded);
     limits.finished("t");
-    CHECK(limits.admit(team, at(0)) == TeamLimits::Verdict::Admitted);
+    CHECK(limits.admit(team, at(0)) == TeamLimits::AdmissionResult::Admitted);
     CHECK(limits.running("t") == 2);
 }
 
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -10,7 +10,7 @@
 constexpr double TransmissionFactor = 3; ///< messages per update, per log2 of the fleet size
 constexpr Duration RelayedPingLifetime {2'000'000};
 constexpr Duration DemandLifetime {30'000'000};
-constexpr double IdleInstanceDemand = 0.05; ///< gives idle instances a small share of limits
+constexpr double IdleInstanceDemand = 0.05; ///< gives idle instances a small share of each limit
 constexpr std::size_t LeaveFanout = 4;
 constexpr std::size_t ListReadersPerInterval = 4;
 constexpr Duration MinListInterval {5'000'000};
@@ -55,8 +55,8 @@
 
 Duration Membership::listInterval() const
 {
-    // The interval grows with the fleet, so that the list is read about once a second by some
-    // instance in a fleet of any size. An instance without peers uses the minimum.
+    // The interval is proportional to the number of instances, so that a fleet of any size reads
+    // the list about once a second in total. An instance without peers uses the minimum.
     const auto scale = std::max<std::size_t>(1, liveCount() / ListReadersPerInterval);
     return MinListInterval * static_cast<std::int64_t>(scale);
 }
@@ -160,7 +160,7 @@
 {
     if (m_probeOrder.empty()) {
         // Each round probes every member once, in a new random order. This bounds the time to
-        // detect a dead member, not only its mean.
+        // detect a dead member; independent random choices would bound only its mean.
         for (const Member *member : liveMembers({}))
             m_probeOrder.push_back(member->status.name);
         std::shuffle(m_probeOrder.begin(), m_probeOrder.end(), m_random);
@@ -221,9 +221,9 @@
 
 Duration Membership::suspicionTime() const
 {
-    // A refutation must reach every instance that received the suspicion. Updates take about
-    // log2 of the fleet size in probe periods, so a fixed time that fits eight instances would
-    // declare live members dead in a fleet of hundreds.
+    // Within this time a refutation must reach every instance that received the suspicion. An
+    // update takes about log2(fleet size) probe periods to reach all instances, so with a fixed
+    // time that suits eight instances, a fleet of hundreds would declare live members dead.
     const double periods =
         m_settings.suspicionFactor * std::log2(static_cast<double>(m_members.size()) + 2);
     const double micros = periods * static_cast<double>(m_settings.probePeriod.count());
@@ -256,9 +256,9 @@
 
 void Membership::probeUnreachable(MembershipActions &actions)
 {
-    // After a partition heals, each side has the other side's members as dead and would never
-    // contact them again. So from time to time one address is pinged that belongs to a dead
-    // member or to no known member.
+    // After a partition heals, each side lists the other side's members as dead and would never
+    // contact them again. Therefore one address that belongs to a dead member or to no known
+    // member is pinged every few periods.
     std::vector<std::string> addresses;
     std::set<std::string> live {m_settings.address};
     for (const auto &[name, member] : m_members) {
@@ -284,7 +284,8 @@
         PeerMessage ack = message(PeerMessage::Kind::Ack, incoming.sequence);
         attachSuspicion(incoming.from, ack);
         if (incoming.knownMembers < m_members.size() / 2) {
-            // The sender is new or was away for long: send the full list at once.
+            // The sender lists less than half as many members, since it is new or was
+            // disconnected for long: send the full list at once.
             ack.members.clear();
             for (const auto &[name, member] : m_members)
                 ack.members.push_back(member.status);
@@ -297,10 +298,10 @@
     case PeerMessage::Kind::Ack: {
         if (m_probe && m_probe->sequence == incoming.sequence)
             m_probe.reset();
-        PeerMessage doubt = message(PeerMessage::Kind::Ping, m_sequence + 1);
-        if (attachSuspicion(incoming.from, doubt)) {
+        PeerMessage suspicionPing = message(PeerMessage::Kind::Ping, m_sequence + 1);
+        if (attachSuspicion(incoming.from, suspicionPing)) {
             ++m_sequence;
-            actions.push_back(SendToPeer {incoming.from.address, std::move(doubt)});
+            actions.push_back(SendToPeer {incoming.from.address, std::move(suspicionPing)});
         }
         const auto relayedPing = m_relayedPings.find(incoming.sequence);
         if (relayedPing == m_relayedPings.end())
@@ -326,7 +327,7 @@
 {
     // The sender is alive, but its message does not override a suspicion at the same
     // incarnation. It must receive the suspicion to refute it with a higher incarnation.
-    // Otherwise two sides of a healed partition would keep each other as dead.
+    // Otherwise two sides of a healed partition would keep listing each other as dead.
     const auto it = m_members.find(from.name);
     if (it == m_members.end() || it->second.status.incarnation < from.incarnation)
         return false;
@@ -374,8 +375,8 @@
         return false;
     const auto it = m_members.find(status.name);
     if (it == m_members.end()) {
-        // Ignore unknown members that are dead: otherwise instances would pass them on to each
-        // other forever.
+        // Ignore dead members that are not listed: otherwise instances would send their status
+        // to each other forever.
         if (status.state == MemberState::Dead)
             return false;
         Member &member = m_members[status.name];
@@ -487,7 +488,7 @@
         }
     }
     const auto live = static_cast<double>(liveCount());
-    // Members without recent demand count with the average demand.
+    // Members without recent demand are counted with the average demand.
     const double scale = reporting > 0 ? (live - 1) / reporting : 0;
     LimitFractions fractions;
     for (const auto &[team, sum] : sums) {
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -14,21 +14,21 @@
 /// is long, since each query to a dead machine runs into a timeout.
 constexpr Duration InitialTimeoutPause {1'000'000};
 constexpr Duration MaxTimeoutPause {16'000'000};
-/// Pause that applies until this instance got its first data: other instances that start at
-/// the same time are slow to answer, but not dead.
+/// Pause that applies until this instance has received its first data: other instances that
+/// start at the same time are slow to answer, but not dead.
 constexpr Duration StartupTimeoutPause {300'000};
 
-/// Pause before an instance with stale data is queried again. Equal to the time for which it
-/// would hold a query, so an outage of the store causes no additional queries.
+/// Pause before an instance with stale data is queried again. Equal to the time for which that
+/// instance would hold a query, so an outage of the store causes no additional queries.
 constexpr Duration StalePause {300'000};
 
 /// Maximum age of data from a source; older data is stale. All instances must stop using a
-/// leaving endpoint within two seconds after the store has its change, even if a source has
-/// lost the store and has not detected it yet.
+/// leaving endpoint within two seconds after the change was stored, even if a source cannot read
+/// the store and has not detected this yet.
 constexpr Duration MaxAge {1'250'000};
 
-/// A stale or empty answer this recent means that the store probably fails for the sources as
-/// well, so this instance does not call the store either.
+/// For this time after a stale or empty answer, an instance without updates does not call the
+/// store, since the store probably fails for the sources as well.
 constexpr Duration RecentAnswer {1'000'000};
 
 /// Pauses of a reader after the store failed, with jitter.
@@ -94,8 +94,8 @@
     SourceState &source = m_sourceStates[name];
     source.timeouts = 0;
     source.unresponsiveUntil = Time {};
-    // The second reader reads the store once the first has lost it, so it accepts only data
-    // that the first read from the store itself. Otherwise the two would read from each other.
+    // The second reader reads the store while the first cannot, so it accepts only data that the
+    // first has read from the store itself. Otherwise the two would read from each other.
     const std::vector<const PeerInstance *> earlier = earlierResponsive(now);
     const bool fromFirst = earlier.size() == 1 && earlier.front()->name == name;
     if (age > MaxAge || (fromFirst && !direct))
@@ -134,8 +134,8 @@
            && (it == m_sourceStates.end() || now >= it->second.staleUntil);
 }
 
-/// Returns the responsive instances of the own domain that precede this instance by name, at
-/// most as many as there are readers per domain.
+/// Returns the first ReadersPerDomain responsive instances of this instance's domain that
+/// precede this instance by name.
 std::vector<const PeerInstance *> PeerDirectory::earlierResponsive(Time now) const
 {
     std::vector<const PeerInstance *> earlier;
@@ -153,9 +153,9 @@
     return earlierResponsive(now).empty();
 }
 
-/// Whether this instance gets no updates from any source although the store may be working.
-/// A recent stale answer indicates that the store fails for the sources too; so does, until
-/// this instance got its first data, a recent empty answer.
+/// Whether this instance gets no updates from any source although the store may be working. A
+/// recent stale answer indicates that the store fails for the sources too. A recent empty answer
+/// indicates the same until this instance has received its first data.
 bool PeerDirectory::lacksUpdates(Time now, Duration updateAge) const
 {
     return updateAge > MaxAge && now - m_staleAnswerAt > RecentAnswer
@@ -168,11 +168,11 @@
         return {ReadSource::Kind::Store, nullptr, true};
     const std::vector<const PeerInstance *> earlier = earlierResponsive(now);
     if (earlier.size() == ReadersPerDomain) {
-        const std::vector<const PeerInstance *> above = parents();
-        for (const PeerInstance *each : above)
+        const std::vector<const PeerInstance *> parentCandidates = parents();
+        for (const PeerInstance *each : parentCandidates)
             if (isUsable(*each, now))
                 return {ReadSource::Kind::Instance, each};
-        if (std::any_of(above.begin(), above.end(),
+        if (std::any_of(parentCandidates.begin(), parentCandidates.end(),
                         [&](const PeerInstance *each) { return isResponsive(*each, now); }))
             return {};
     }
@@ -210,7 +210,8 @@
     return {earlier[parent], earlier[std::min(neighbour, earlier.size() - 1)]};
 }
 
-/// Returns the first responsive instance of the own domain after this one, or nullptr.
+/// Returns the first responsive instance of this domain that follows this instance by name, or
+/// nullptr.
 const PeerInstance *PeerDirectory::nextResponsive(Time now) const
 {
     const auto it =
@@ -224,17 +225,17 @@
 std::vector<const PeerInstance *> PeerDirectory::remoteCandidates(std::size_t maxPerDomain,
                                                                   Time now) const
 {
-    std::vector<const PeerInstance *> firsts;
+    std::vector<const PeerInstance *> candidates;
     std::map<std::string_view, std::size_t> counts;
     for (const PeerInstance &each : m_instances)
         if (each.domain != m_domain && isResponsive(each, now)
             && counts[each.domain]++ < maxPerDomain)
-            firsts.push_back(&each);
-    return firsts;
+            candidates.push_back(&each);
+    return candidates;
 }
 
-/// Returns a reader of another domain. The choice depends on the own name, so that the
-/// instances of a domain that lost the store spread over several readers.
+/// Returns a reader of another domain. The choice depends on this instance's name, so that the
+/// instances of a domain that cannot reach the store query several readers.
 const PeerInstance *PeerDirectory::remoteReader(Time now) const
 {
     std::vector<const PeerInstance *> readers = remoteCandidates(ReadersPerDomain, now);
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -22,8 +22,8 @@
     return settings;
 }
 
-/// Returns a configuration with \a routes routes that differ like those of operators, so that
-/// it compresses like a real one.
+/// Returns a configuration with \a routes routes that vary as operators' routes do, so that it
+/// compresses as well as a configuration in use.
 std::string configurationOf(std::size_t routes)
 {
     std::mt19937_64 random(20261203);
@@ -64,8 +64,9 @@
 
 } // namespace
 
-// With a healthy store and in an outage that is invisible to callers, the rate of store calls
-// does not grow with the fleet. After the outage all instances have current data again soon.
+// The rate of store calls does not grow with the fleet, neither with a healthy store nor in an
+// outage of the store. Callers do not notice the outage, and 3.5 s after it all instances have
+// current data again.
 TEST_CASE("store call rate stays constant as the number of instances grows")
 {
     const StoreBehavior behavior =
@@ -137,7 +138,7 @@
         fleet.start(each);
     fleet.run(seconds(3));
     CHECK(fleet.oldestAge() < milliseconds(1'600));
-    // One call per restarted instance, and those of the readers.
+    // One call per restarted instance, in addition to the calls of the readers.
     CHECK(fleet.storeCalls() - before < dead.size() + 150);
 }
 
@@ -240,7 +241,7 @@
     }
 }
 
-// Guards against a connected instance that serves callers by an outdated configuration while
+// Guards against a connected instance that serves callers with an outdated configuration while
 // its sources die, hang or are partitioned.
 TEST_CASE("data age of connected instances stays bounded while other instances fail")
 {
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -1,5 +1,6 @@
-// Properties of the cores under random sequences of faults, in virtual time. CTest sets the
-// seed in RC_PARAMS; a sequence that fails with another seed is added as a named test.
+// Properties of claims, leases, the configuration and the router under random sequences of
+// faults, in virtual time. CTest sets the seed in RC_PARAMS; a sequence that fails with another
+// seed is added as a named test.
 
 #include "../fakes/controlharness.h"
 #include "../fakes/routerharness.h"
@@ -148,7 +149,7 @@
         std::vector<LeaseManager> managers;
         for (int i = 0; i < 3; ++i)
             managers.emplace_back(LeaseSettings {.key = "l", .holder = "h" + std::to_string(i)});
-        std::map<std::uint64_t, std::size_t> holders; // by fencing number
+        std::map<std::uint64_t, std::size_t> holders; // by fencing token
         Time now(std::chrono::seconds(10));
         for (const int draw : schedule) {
             now += std::chrono::milliseconds(500 + draw * 20);
@@ -231,7 +232,7 @@
             RC_ASSERT(harness.node(i).config.forksSeen() == 0U);
             RC_ASSERT(harness.node(i).config.head() == harness.node(0).config.head());
         }
-        // The outcomes reported to operators are correct.
+        // Accepted proposals are in the history; rejected ones are not.
         for (std::size_t i = 0; i < 5; ++i) {
             for (const auto &[id, outcome] : harness.node(i).outcomes) {
                 const auto &history = harness.node(0).config.history();
--- a/src/libbalsamloft/ratelimits.cpp
+++ b/src/libbalsamloft/ratelimits.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-/// One of this many slots goes to the instances of other failure domains.
+/// Each slot whose number is a multiple of this belongs to an instance of another failure
+/// domain.
 constexpr std::int64_t OtherDomainsInterval = 4;
 
 /// Range to which announced limits are clamped.
 constexpr double MaxPerSecond = 10'000;
 constexpr double MinPerSecond = 0.01;
 
-/// Share of a limit for requests that instances send after it has expired for them.
+/// Share of a limit for requests that find out whether the expired limit still applies.
 constexpr double ProbeShare = 0.125;
 
 double seconds(Duration duration)
@@ -50,8 +51,8 @@
         assignSlots(limit, now);
 }
 
-/// Updates the rotations of \a limit. Slots that began before \a now are excluded: they were
-/// assigned by the old rotations, so one that this instance has used could seem to be unused.
+/// Updates the rotations of \a limit. Slots that began before \a now are excluded: the old
+/// rotations assigned them, so a slot that this instance has already used could appear unused.
 void RateLimits::assignSlots(Limit &limit, Time now) const
 {
     limit.endpointDomain = rotationOf(limit.domain, true);
@@ -132,10 +133,10 @@
     return std::nullopt;
 }
 
-/// After its validity an instance may send a request to find out whether the limit still
-/// applies. The validity grows with the number of instances, so that these requests take up a
-/// small part of the limit, and it differs between instances, since all of them may have
-/// received the limit at the same time.
+/// Returns the time after which an instance may send a request to find out whether the limit
+/// still applies. The time grows with the number of instances, so that these requests take up a
+/// small part of the limit. It differs between instances, since all of them may have received
+/// the limit at the same time.
 Duration RateLimits::validityOf(const Limit &limit) const
 {
     const double shared =
--- a/src/libbalsamloft/ratelimits_test.cpp
+++ b/src/libbalsamloft/ratelimits_test.cpp
@@ -17,9 +17,9 @@
 using std::chrono::seconds;
 
 constexpr Duration Step {20'000};
-constexpr Duration LimitSpreadTime {3'000'000}; ///< until all instances have received a limit
-constexpr Duration Window {4'000'000}; ///< in which requests are counted
-constexpr Duration InformedBefore {500'000}; ///< grace period after receiving a limit
+constexpr Duration LimitPropagationTime {3'000'000}; ///< for a limit to reach all instances
+constexpr Duration Window {4'000'000}; ///< time span in which requests are counted
+constexpr Duration LimitGracePeriod {500'000}; ///< grace period after receiving a limit
 
 struct LimitSimulationSettings
 {
@@ -50,15 +50,15 @@
     /// get it in their lists after \a listDelay.
     void start(std::size_t instance, Duration listDelay);
 
-    /// Cuts the domain off from updates of the list of instances.
+    /// Stops the updates of the list of instances in this domain.
     void partition(std::size_t domain) { m_partitionedDomain = "d" + std::to_string(domain); }
 
     Time now() const { return m_now; }
     std::size_t size() const { return m_harnesses.size(); }
 
     /// Requests that reached the first endpoint in the last \a length, from instances that
-    /// had received a limit at least InformedBefore earlier.
-    std::size_t arrivedFromInformed(Duration length) const;
+    /// had received a limit at least LimitGracePeriod earlier.
+    std::size_t arrivedAfterGracePeriod(Duration length) const;
     std::size_t arrived(Duration length) const;
 
     std::size_t submitted = 0;
@@ -68,7 +68,7 @@
     struct Arrival
     {
         Time at {};
-        bool fromInformed = false;
+        bool afterGracePeriod = false;
     };
     struct Call
     {
@@ -91,13 +91,13 @@
     std::vector<std::optional<Time>> m_limitReceivedAt;
     std::vector<PeerInstance> m_instances;
     std::vector<Duration> m_clocks;
-    struct Listing
+    struct ListChange
     {
         Time at {};
         std::size_t instance = 0;
         bool listed = false;
     };
-    std::vector<Listing> m_listings; ///< future changes of the list
+    std::vector<ListChange> m_pendingListChanges; ///< future changes of the list
     std::vector<bool> m_listed;
     std::string m_partitionedDomain;
     std::deque<Call> m_calls;
@@ -166,14 +166,14 @@
 void LimitSimulation::crash(std::size_t instance, Duration listDelay)
 {
     m_crashedAt[instance] = m_now;
-    m_listings.push_back({m_now + listDelay, instance, false});
+    m_pendingListChanges.push_back({m_now + listDelay, instance, false});
 }
 
 void LimitSimulation::start(std::size_t instance, Duration listDelay)
 {
     m_crashedAt[instance].reset();
     m_limitReceivedAt[instance].reset();
-    m_listings.push_back({m_now + listDelay, instance, true});
+    m_pendingListChanges.push_back({m_now + listDelay, instance, true});
     sendList(instance);
 }
 
@@ -185,11 +185,11 @@
 
 void LimitSimulation::step()
 {
-    const auto due = [this](const Listing &each) { return m_now >= each.at; };
-    for (const Listing &each : m_listings)
+    const auto due = [this](const ListChange &each) { return m_now >= each.at; };
+    for (const ListChange &each : m_pendingListChanges)
         if (due(each))
             m_listed[each.instance] = each.listed;
-    if (std::erase_if(m_listings, due) > 0)
+    if (std::erase_if(m_pendingListChanges, due) > 0)
         updateLists();
     while (!m_calls.empty() && m_calls.front().answerAt <= m_now) {
         const Call call = m_calls.front();
@@ -224,7 +224,8 @@
                 continue;
             const auto &receivedAt = m_limitReceivedAt[instance];
             if (send->endpoint == "e0")
-                m_arrivals.push_back({m_now, receivedAt && m_now - *receivedAt >= InformedBefore});
+                m_arrivals.push_back(
+                    {m_now, receivedAt && m_now - *receivedAt >= LimitGracePeriod});
             m_calls.push_back(
                 {instance, send->flight, send->attempt, send->endpoint, m_now + milliseconds(100)});
         } else if (std::holds_alternative<FinishFlight>(action)) {
@@ -251,11 +252,11 @@
     collect(call.instance);
 }
 
-std::size_t LimitSimulation::arrivedFromInformed(Duration length) const
+std::size_t LimitSimulation::arrivedAfterGracePeriod(Duration length) const
 {
     return static_cast<std::size_t>(
         std::count_if(m_arrivals.begin(), m_arrivals.end(), [&](const Arrival &each) {
-            return each.fromInformed && each.at > m_now - length;
+            return each.afterGracePeriod && each.at > m_now - length;
         }));
 }
 
@@ -272,13 +273,13 @@
     return 1.5 * limit * std::chrono::duration<double>(Window).count() + 5;
 }
 
-/// Runs for \a length and returns the maximum of arrivedFromInformed(Window).
+/// Runs for \a length and returns the maximum of arrivedAfterGracePeriod(Window).
 std::size_t maxArrived(LimitSimulation &simulation, Duration length)
 {
     std::size_t maximum = 0;
     for (const Time end = simulation.now() + length; simulation.now() < end;) {
         simulation.run(Step * 5);
-        maximum = std::max(maximum, simulation.arrivedFromInformed(Window));
+        maximum = std::max(maximum, simulation.arrivedAfterGracePeriod(Window));
     }
     return maximum;
 }
@@ -298,7 +299,7 @@
                 LimitSimulation simulation(settings);
                 simulation.run(seconds(2));
                 simulation.setLimit(limit);
-                simulation.run(LimitSpreadTime);
+                simulation.run(LimitPropagationTime);
                 CAPTURE(instances, limit, kind);
                 CHECK(static_cast<double>(maxArrived(simulation, seconds(20)))
                       <= maxAllowed(limit));
@@ -386,7 +387,7 @@
         simulation.setLimit(40);
         simulation.run(seconds(6));
         simulation.setLimit(5);
-        simulation.run(LimitSpreadTime + Window);
+        simulation.run(LimitPropagationTime + Window);
         CAPTURE(instances);
         CHECK(static_cast<double>(maxArrived(simulation, seconds(10))) <= maxAllowed(5));
         simulation.setLimit(std::nullopt);
--- a/src/libbalsamloft/readfreshness.cpp
+++ b/src/libbalsamloft/readfreshness.cpp
@@ -12,8 +12,8 @@
     m_lastStoreMs = storeMs;
     const Duration offset = sentAt - storeTime;
     m_offset = m_offset ? std::max(*m_offset, offset) : offset;
-    const Time madeAt = std::clamp(storeTime + *m_offset, sentAt, std::max(sentAt, arrivedAt));
-    m_knownAt = m_knownAt ? std::max(*m_knownAt, madeAt) : madeAt;
+    const Time createdAt = std::clamp(storeTime + *m_offset, sentAt, std::max(sentAt, arrivedAt));
+    m_knownAt = m_knownAt ? std::max(*m_knownAt, createdAt) : createdAt;
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -60,10 +60,10 @@
     CHECK(count(tracker) == 1);
 }
 
-// The source of this instance lost the store and sent stale updates for 1.8 s, while the list
-// itself was available and an endpoint left. If the entry were kept as after an outage, the
+// For 1.8 s the source of this instance could not read the store and sent stale updates, while
+// the list was available and an endpoint left. If the entry were kept as after an outage, the
 // endpoint would get new requests for seconds after it left.
-TEST_CASE("an entry deleted during a short gap in updates is removed at once")
+TEST_CASE("an entry deleted during a short interruption of updates is removed at once")
 {
     FleetTracker tracker;
     tracker.listed({endpoint("a"), endpoint("b")}, Start);
@@ -89,8 +89,8 @@
     CHECK(count(tracker) == 2);
 }
 
-// This instance reads from two sources in turn, and the second one's data is older. An endpoint
-// that leaves at that time must not be kept as after an outage.
+// This instance reads from two sources in turn, and the data of the second source is older. An
+// endpoint that leaves at that time must be removed at once, unlike after an outage.
 TEST_CASE("an update older than the last one does not count as an outage")
 {
     FleetTracker tracker;
@@ -190,12 +190,12 @@
         Time now = Start;
         for (int call = 0; call < 20; ++call) {
             const Time sent = now;
-            const Time made = sent + Duration(random() % 2'000'000);
-            const Time arrived = made + Duration(random() % 3'000'000);
-            const std::int64_t storeMs = (made.time_since_epoch() - offset).count() / 1000;
+            const Time createdAt = sent + Duration(random() % 2'000'000);
+            const Time arrived = createdAt + Duration(random() % 3'000'000);
+            const std::int64_t storeMs = (createdAt.time_since_epoch() - offset).count() / 1000;
             freshness.recordAnswer(sent, arrived, storeMs);
             REQUIRE(freshness.knownAt());
-            REQUIRE(*freshness.knownAt() <= made);
+            REQUIRE(*freshness.knownAt() <= createdAt);
             now = arrived + Duration(random() % 100'000);
         }
     }
@@ -356,9 +356,10 @@
     CHECK(directories[4].source(Start).instance->name == instances[0].name);
 }
 
-// Guards against a domain in which all instances query the readers of other domains when its
-// own readers have lost the store. Only its two readers may do so; the others wait for them.
-TEST_CASE("a domain without the store is updated by readers of other domains")
+// Guards against a domain in which all instances query the readers of other domains when the
+// domain's own readers cannot read the store. Only these two readers may query other domains;
+// the other instances wait for them.
+TEST_CASE("a domain that cannot read the store is updated by readers of other domains")
 {
     const std::vector<PeerInstance> instances = twoDomains(300);
     std::vector<PeerDirectory> directories = directoriesOf(instances);
@@ -396,8 +397,8 @@
     CHECK(directory.source(Start).instance->name == instances[0].name);
 }
 
-// In a long outage no instance can write its row, although all are alive. If they counted as
-// dead, each of them would read the store directly.
+// In a long outage no instance can write its row, although all are alive. If the others counted
+// as dead, each instance would read the store directly.
 TEST_CASE("instance rows that expire in an outage of the store do not count as dead")
 {
     InstanceList list;
@@ -528,14 +529,14 @@
     builder.route(route, {{"two", 1}});
     route.prefix = "/c/";
     route.name = "bad";
-    builder.route(route, {{"nobody", 1}});
+    builder.route(route, {{"missing", 1}});
     const RouteMapPtr map = builder.build();
     REQUIRE(map->match("h", "/a/b/c"));
     CHECK(map->match("h", "/a/b/c")->name == "long");
     CHECK(map->match("h", "/a/x")->name == "short");
     CHECK_FALSE(map->match("h", "/c/x"));
     CHECK_FALSE(map->match("other", "/a/x"));
-    CHECK(builder.leftOut().size() == 1);
+    CHECK(builder.skippedRoutes().size() == 1);
 }
 
 TEST_CASE("a weighted split follows the weights and is stable per request")
@@ -555,13 +556,13 @@
     CHECK(map->target(map->routes()[0], "x") == map->target(map->routes()[0], "x"));
 }
 
-// A burst fills an engine within a second. Instances that learn of it a second late keep
-// sending requests, which the engine refuses. More frequent polls report it sooner.
+// A burst fills an engine within a second. Instances that receive its usage a second late keep
+// sending requests, which the engine refuses. More frequent polls reduce this delay.
 TEST_CASE("an engine that is filling up is polled more often than an idle one")
 {
-    const Duration rests = pollInterval({100, 100, 1000});
-    CHECK(pollInterval({400, 400, 1000}) < rests / 2);
-    CHECK(pollInterval({300, 100, 1000}) < rests / 2);
-    CHECK(pollInterval({20, 300, 1000}) < rests / 2); // it may fill up again as quickly
-    CHECK(pollInterval({0, 0, 0}) == rests); // no layers, hence no capacity
+    const Duration defaultInterval = pollInterval({100, 100, 1000});
+    CHECK(pollInterval({400, 400, 1000}) < defaultInterval / 2);
+    CHECK(pollInterval({300, 100, 1000}) < defaultInterval / 2);
+    CHECK(pollInterval({20, 300, 1000}) < defaultInterval / 2); // it may fill up again as quickly
+    CHECK(pollInterval({0, 0, 0}) == defaultInterval); // no layers, hence no capacity
 }
--- a/src/libbalsamloft/routemap.cpp
+++ b/src/libbalsamloft/routemap.cpp
@@ -116,7 +116,9 @@
                     {static_cast<std::uint32_t>(found - map.m_services.begin()), target.second});
         }
         if (route.targets.empty()) {
-            m_leftOut.push_back("route " + route.name + ": no known service");
+            m_skippedRoutes.push_back(
+                "route " + route.name
+                + ": none of its targets is a known service with a weight above 0");
             continue;
         }
         map.m_hosts[route.host].push_back(static_cast<std::uint32_t>(map.m_routes.size()));
--- a/src/libbalsamloft/router_test.cpp
+++ b/src/libbalsamloft/router_test.cpp
@@ -108,7 +108,7 @@
     }
 }
 
-TEST_CASE("a killed stage: the stream continues on another engine without missing tokens",
+TEST_CASE("a stream continues without missing tokens after an engine of its chain crashes",
           "[router][failure]")
 {
     // An engine in the middle of the chain crashes while requests are running, and its
@@ -131,7 +131,7 @@
     CHECK(harness.router(0).counters().retries > 0);
 }
 
-TEST_CASE("a frozen stage: late answers of an abandoned attempt are dropped", "[router][failure]")
+TEST_CASE("late answers of an abandoned attempt are dropped", "[router][failure]")
 {
     // An engine is stopped for longer than every timeout and then continues. It answers
     // steps of abandoned attempts while newer attempts run. These answers must not add
@@ -309,16 +309,16 @@
     harness.runFor(std::chrono::seconds(5));
     CHECK(harness.router(0).counters().dispatched + harness.router(1).counters().dispatched == 1);
     const bool firstWon = harness.record(first).answer.has_value();
-    const CallerRecord &loser = harness.record(firstWon ? second : first);
-    REQUIRE(loser.refusal);
-    CHECK(loser.refusal->code == RefusalCode::DuplicateInProgress);
-    CHECK(loser.refusal->ran == Executed::Unknown);
+    const CallerRecord &duplicate = harness.record(firstWon ? second : first);
+    REQUIRE(duplicate.refusal);
+    CHECK(duplicate.refusal->code == RefusalCode::DuplicateInProgress);
+    CHECK(duplicate.refusal->ran == Executed::Unknown);
     REQUIRE(harness.record(third).answer);
     CHECK(harness.record(third).answer->replayed);
     CHECK(harness.record(third).answer->body == expectedText(harness.record(third)));
 }
 
-TEST_CASE("the answer to a claim is lost: the claim is resolved by reading its row",
+TEST_CASE("a claim whose answer is lost is resolved by reading its row",
           "[router][claims][failure]")
 {
     // The table service commits the claim, but its answer is lost. A second write would
@@ -335,7 +335,7 @@
     CHECK(harness.router(0).counters().dispatched == 1);
 }
 
-TEST_CASE("the table service is down: requests with keys are refused as not executed",
+TEST_CASE("requests with keys are refused as not executed while the table service is down",
           "[router][claims][failure]")
 {
     // The request is refused as not executed well before its deadline. Once the table
--- a/src/libbalsamloft/routeradmission.cpp
+++ b/src/libbalsamloft/routeradmission.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t TraceCapacity = 8192;
-constexpr std::size_t PrefixBytes = 256; ///< of the prompt that are hashed for prefix affinity
+constexpr std::size_t PrefixBytes = 256; ///< length of the prompt prefix hashed for affinity
 constexpr double MinShare = 1e-6;
 constexpr Duration MinRetryAfter {100'000};
 constexpr Duration MaxRetryAfter {60'000'000};
@@ -111,10 +111,10 @@
                                                               const Team &team, Time now)
 {
     switch (m_limits.admit(team, now)) {
-    case TeamLimits::Verdict::RateExceeded:
+    case TeamLimits::AdmissionResult::RateExceeded:
         return Denial {RefusalCode::RateLimited, "team " + request.team + " is over its rate limit",
                        std::max(MinRetryAfter, m_limits.retryAfter(team, now))};
-    case TeamLimits::Verdict::ConcurrencyExceeded: {
+    case TeamLimits::AdmissionResult::ConcurrencyExceeded: {
         const auto target = m_targets.find(targetKey(request.kind, request.target));
         const Duration service =
             target == m_targets.end() ? Duration::zero() : expectedService(target->second, request);
@@ -122,7 +122,7 @@
                        "team " + request.team + " has too many requests running",
                        std::max(MinRetryAfter, service)};
     }
-    case TeamLimits::Verdict::Admitted:
+    case TeamLimits::AdmissionResult::Admitted:
         break;
     }
     return std::nullopt;
@@ -179,7 +179,7 @@
                        std::clamp(wait, MinRetryAfter, MaxRetryAfter)};
     if (now + wait + expectedService(target, request) > request.deadline)
         return Denial {RefusalCode::DeadlineUnmeetable,
-                       "the deadline cannot be met at the present load",
+                       "the request's deadline cannot be met at the present load",
                        std::clamp(wait, MinRetryAfter, MaxRetryAfter)};
     return std::nullopt;
 }
@@ -243,8 +243,8 @@
         target.queue.pushResumed(std::move(item));
     else
         target.queue.push(std::move(item));
-    // Latest time at which the request can start and still finish before its deadline. A
-    // request with tokens already sent may wait until the deadline.
+    // The timer expires at the latest time at which the request can start and still finish
+    // before its deadline. A request with tokens already sent may wait until the deadline.
     const Duration service =
         flight.tokens.empty() ? expectedService(target, flight.request) : Duration::zero();
     setTimer(flight, std::max(now, flight.request.deadline - service));
@@ -270,8 +270,8 @@
 
 void Router::Impl::dispatchQueued(Target &target, Time now, Actions &actions)
 {
-    // refuse() calls dispatchQueued() again: the recursion could get as deep as the queue is
-    // long.
+    // refuse() calls dispatchQueued(): without this check, the recursion could become as deep as
+    // the queue is long.
     if (std::exchange(m_dispatching, true))
         return;
     dispatchQueuedOnce(target, now, actions);
@@ -289,8 +289,8 @@
             query.timeLeft = Duration::max();
             if (!m_chooser.choose(target.table, m_loads, query, now, m_chain))
                 return;
-            refuse(flight, RefusalCode::DeadlineUnmeetable, "the deadline can no longer be met",
-                   MinRetryAfter, now, actions);
+            refuse(flight, RefusalCode::DeadlineUnmeetable,
+                   "the request's deadline can no longer be met", MinRetryAfter, now, actions);
             continue;
         }
         target.queue.pop();
@@ -328,8 +328,8 @@
         // or this process may have been paused.
         if (now >= flight->request.deadline)
             return refuse(*flight, RefusalCode::DeadlineExceeded,
-                          "the deadline passed before the key was claimed", MinRetryAfter, now,
-                          actions);
+                          "the deadline passed before the idempotency key was claimed",
+                          MinRetryAfter, now, actions);
         return startAttempt(*flight, now, actions);
     case ClaimAnswer::Kind::Finished: {
         Answer stored = answer.answer;
@@ -341,15 +341,17 @@
     case ClaimAnswer::Kind::Held:
         flight->mayHaveExecuted = true;
         return refuse(*flight, RefusalCode::DuplicateInProgress,
-                      "another request with this key is in progress or has an unknown outcome",
+                      "another request with this idempotency key is in progress or has an "
+                      "unknown outcome",
                       RetryAfterNotReady, now, actions);
     case ClaimAnswer::Kind::KeyReused:
         return refuse(*flight, RefusalCode::KeyReused,
-                      "this key was already used with different content", Duration::zero(), now,
-                      actions);
+                      "this idempotency key was already used with different content",
+                      Duration::zero(), now, actions);
     case ClaimAnswer::Kind::Unavailable:
         return refuse(*flight, RefusalCode::ClaimUnavailable,
-                      "the key could not be claimed: the table service did not answer in time",
+                      "the idempotency key could not be claimed: the table service did not "
+                      "answer in time",
                       RetryAfterNotReady, now, actions);
     }
 }
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -146,8 +146,8 @@
         ++m_counters.lateAnswers;
         return;
     }
-    // A connection that mixes up its answers delivers the answer to another step, as the
-    // echoed reference shows. The answer is dropped and the step counts as failed.
+    // The echoed reference shows that the connection delivered the answer to another step. The
+    // answer is dropped and the awaited step counts as failed.
     if (answer.ref != awaited) {
         ++m_counters.mismatchedAnswers;
         return stepFailed(awaited, FailureKind::Broken, std::nullopt, now, actions);
--- a/src/libbalsamloft/routerfailures.cpp
+++ b/src/libbalsamloft/routerfailures.cpp
@@ -115,11 +115,12 @@
                       Duration::zero(), now, actions);
     if (flight.retries + 1 >= m_settings.maxAttempts)
         return refuse(flight, RefusalCode::RetriesExhausted,
-                      "gave up after " + std::to_string(flight.attempt) + " attempts",
+                      "the request failed after " + std::to_string(flight.attempt) + " attempts",
                       RetryAfterFailure, now, actions);
     if (!m_budget.withdraw(now)) {
-        // The endpoints are probably overloaded, and further attempts would make it worse:
-        // waits until the budget is refilled. Jitter spreads the retries of waiting requests.
+        // The endpoints are probably overloaded, and further attempts would add to the load: the
+        // request waits until the budget is refilled. Jitter spreads the retries of waiting
+        // requests.
         return backOff(flight, flight.retries, now);
     }
     ++flight.retries;
@@ -163,8 +164,8 @@
     m_endpointCheckAt = now + m_settings.endpointCheckInterval;
     for (EndpointId id = 0; id < m_loads.size(); ++id) {
         const EndpointState &state = m_loads.state(id);
-        // A new process may have replaced an endpoint that reported that it is leaving, and
-        // probes don't burden a leaving endpoint.
+        // Endpoints that reported that they are leaving are probed too: a new process may have
+        // replaced them, and probes don't burden a leaving endpoint.
         const bool due = state.ejected ? state.probeAt <= now : state.reportedLeaving;
         if (due && state.configured)
             probe(id, actions);
@@ -211,13 +212,13 @@
     switch (flight.state) {
     case FlightState::Queued: {
         const auto code = expired ? RefusalCode::DeadlineExceeded : RefusalCode::DeadlineUnmeetable;
-        return refuse(flight, code, "the deadline can no longer be met", RetryAfterFailure, now,
-                      actions);
+        return refuse(flight, code, "the request's deadline can no longer be met",
+                      RetryAfterFailure, now, actions);
     }
     case FlightState::Claiming:
         return refuse(flight, RefusalCode::ClaimUnavailable,
-                      "the deadline passed while the key was being claimed", RetryAfterFailure, now,
-                      actions);
+                      "the deadline passed while the idempotency key was being claimed",
+                      RetryAfterFailure, now, actions);
     case FlightState::Running:
         if (!expired)
             return handleTimeout(flight, now, actions);
@@ -232,8 +233,8 @@
             return dispatchQueued(targetOf(flight), now, actions);
         }
         return refuse(flight, RefusalCode::DeadlineExceeded,
-                      "the deadline passed while waiting for a retry", Duration::zero(), now,
-                      actions);
+                      "the deadline passed while the request waited for a retry", Duration::zero(),
+                      now, actions);
     }
 }
 
--- a/src/libbalsamloft/routerimpl.h
+++ b/src/libbalsamloft/routerimpl.h
@@ -30,7 +30,7 @@
     FlightState state = FlightState::Queued;
     bool claimed = false; ///< its idempotency key is claimed
     bool mayHaveExecuted = false; ///< an endpoint may have executed a part of it
-    bool attemptMayHaveExecuted = false; ///< the same for the current attempt
+    bool attemptMayHaveExecuted = false; ///< an endpoint may have executed a part of the attempt
     bool prefillPass = false;
     std::uint32_t attempt = 0;
     std::uint32_t retries = 0; ///< attempts that were charged to the retry budget
@@ -39,7 +39,7 @@
     std::size_t stage = 0;
     Chain chain;
     EndpointId avoid = NoEndpoint; ///< endpoint of the last failed attempt
-    std::vector<std::string> tokens; ///< sent to the caller so far
+    std::vector<std::string> tokens; ///< tokens sent to the caller so far
     double cost = 1; ///< expected work in tokens
     Time timer {}; ///< when tick() calls timerFired()
     Time submittedAt {};
@@ -63,10 +63,10 @@
     double finishedCost = 0; ///< exponentially decayed, for the drain rate
     Time finishedAt {};
     Time firstFinishAt {};
-    double requestedTokens = 0; ///< since the start, including refused requests
-    double tokenMicros = 0; ///< smoothed, between two tokens
-    double firstTokenMicros = 0; ///< smoothed, from dispatch to the first token
-    double lengthRatio = 1; ///< smoothed, generated tokens over max_tokens
+    double requestedTokens = 0; ///< since the process started, including refused requests
+    double tokenMicros = 0; ///< smoothed time between two tokens
+    double firstTokenMicros = 0; ///< smoothed time from dispatch to the first token
+    double lengthRatio = 1; ///< smoothed ratio of generated tokens to max_tokens
 };
 
 class Router::Impl
@@ -181,7 +181,7 @@
     static std::string targetKey(TargetKind kind, std::string_view name);
 
     std::unordered_map<RequestId, Flight> m_flights;
-    Timers m_timers; ///< after m_flights: must be destroyed before its nodes
+    Timers m_timers; ///< declared after m_flights: destroyed before the flights it links
     std::unordered_map<std::string, Target, StringHash, std::equal_to<>> m_targets;
     std::set<EndpointId> m_probing;
     Chain m_chain; ///< buffer for the chain being selected
--- a/src/libbalsamloft/routing.cpp
+++ b/src/libbalsamloft/routing.cpp
@@ -13,13 +13,13 @@
 constexpr double RingPointsPerMeanWeight = 32;
 constexpr std::size_t MinRingPoints = 4;
 constexpr int MaxDraws = 4;
-constexpr double MarginSteps = 2; ///< added for the first token and the network
-constexpr double TimeMargin = 1.1; ///< allows for steps slower than expected
+constexpr double MarginSteps = 2; ///< steps added for the first token and the network
+constexpr double TimeMargin = 1.1; ///< factor that allows for steps slower than expected
 constexpr int AlertDraws = 16;
-constexpr double StepsUntilSlotFree = 4; // approximate, at a full endpoint
-constexpr std::size_t MaxOwners = 16; ///< of one prefix
-constexpr std::size_t ExtraOwners = 2; ///< tried if all owners are full
-constexpr double OwnersPerDemandShare = 4; ///< more owners of a prefix per member's share of demand
+constexpr double StepsUntilSlotFree = 4; ///< approximate, at a full endpoint
+constexpr std::size_t MaxOwners = 16; ///< maximum number of owners of one prefix
+constexpr std::size_t ExtraOwners = 2; ///< members tried in addition if all owners are full
+constexpr double OwnersPerDemandShare = 4; ///< additional owners per member, at full demand
 constexpr std::uint32_t PrefixWindow = 8192; ///< requests until the counts are halved
 constexpr std::size_t AlertHashSeed = 0xa1e27;
 constexpr double RoundTripScaleMicros = 30'000; // one typical step
@@ -247,7 +247,7 @@
     // At a full endpoint the request waits for a slot to become free.
     const double waitingAhead = std::max(0.0, expectedLoad - state.slots + 1);
     const double wait = waitingAhead * StepsUntilSlotFree * static_cast<double>(stepTime.count());
-    // The inventory has the nominal latency of the link, recent steps show the actual one.
+    // The inventory has the nominal latency of the link; recent steps show the actual latency.
     const Duration roundTrip =
         std::max(2 * m_latency[id], decision.loads.roundTrip(id, decision.now));
     return compute + wait + static_cast<double>(roundTrip.count());
@@ -294,7 +294,7 @@
 
 ChainChooser::Pick ChainChooser::pickBestOfTwo(const Decision &decision)
 {
-    // Alerts compare more members: alerts are rare and must not wait.
+    // Requests of priority alert compare more members, since they are rare and must not wait.
     const bool alert = decision.query.priority == Priority::Alert;
     const int maxDraws = alert ? AlertDraws : MaxDraws;
     const int maxCompared = alert ? AlertDraws : 2;
@@ -338,8 +338,8 @@
     Pick best;
     bool bestHasHeadroom = false;
     for (std::size_t visited = 0; visited < ring.size(); ++visited) {
-        // A prefix in high demand has several owners, of which the cheapest is used.
-        // Any other prefix has one owner, and the next member is used if it is full.
+        // A prefix in high demand has several owners, of which the cheapest is used. Any other
+        // prefix has one owner; if it is full, the next member of the ring is used.
         const bool enough = seen.size() >= owners && bestHasHeadroom;
         if (enough || seen.size() == owners + ExtraOwners)
             break;
@@ -369,7 +369,7 @@
 {
     Pick best;
     for (const EndpointId id : decision.group.reservedForAlerts) {
-        // Without overcommitment: a full reserved endpoint has no advantage over others.
+        // A full reserved endpoint has no advantage over others, so it is not overcommitted.
         if (!decision.loads.usable(id) || id == decision.query.avoid
             || !decision.loads.hasFreeSlot(id, 0, decision.now))
             continue;
--- a/src/libbalsamloft/tablecopy.cpp
+++ b/src/libbalsamloft/tablecopy.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Deleted rows that are kept, to send the deletions to followers and to ignore older versions
-/// of these rows that arrive late.
+/// Maximum number of deleted rows that are kept, to send the deletions to followers and to
+/// ignore older versions of these rows that arrive late.
 constexpr std::size_t MaxDeletedRows = 500;
 
 bool olderThan(const StoreRow &left, const StoreRow &right)
@@ -42,7 +42,8 @@
     return rows;
 }
 
-/// Applies \a row if it is newer than the stored one. Returns whether it was.
+/// Stores \a row if it is newer than the stored version of the row. Returns whether it was
+/// stored.
 bool TableCopy::applyRow(const StoreRow &row)
 {
     const auto known = m_rows.find(row.key);
--- a/src/libbalsamloft/teamlimits.cpp
+++ b/src/libbalsamloft/teamlimits.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-constexpr double BurstSeconds = 1; // of the rate, available as a burst
+constexpr double BurstSeconds = 1; ///< size of a burst, in seconds of the rate
 constexpr double MicrosPerSecond = 1e6;
 
 double burst(double rate)
 {
-    // At least one request: a small fraction of a small limit would never admit any.
+    // At least one request: otherwise a small fraction of a small limit would never admit a
+    // request.
     return std::max(1.0, rate * BurstSeconds);
 }
 
@@ -24,7 +25,7 @@
     return it == m_fractions.end() ? m_defaultFraction : it->second;
 }
 
-TeamLimits::Verdict TeamLimits::admit(const Team &team, Time now)
+TeamLimits::AdmissionResult TeamLimits::admit(const Team &team, Time now)
 {
     ++m_demand[team.name];
     Usage &usage = m_usage[team.name];
@@ -32,7 +33,7 @@
     if (team.maxConcurrent > 0) {
         const double limit = std::max(1.0, std::floor(team.maxConcurrent * part));
         if (usage.running >= limit)
-            return Verdict::ConcurrencyExceeded;
+            return AdmissionResult::ConcurrencyExceeded;
     }
     if (team.requestsPerSecond > 0) {
         const double rate = team.requestsPerSecond * part;
@@ -42,11 +43,11 @@
         usage.started = true;
         usage.refilledAt = now;
         if (usage.tokens < 1)
-            return Verdict::RateExceeded;
+            return AdmissionResult::RateExceeded;
         usage.tokens -= 1;
     }
     ++usage.running;
-    return Verdict::Admitted;
+    return AdmissionResult::Admitted;
 }
 
 void TeamLimits::finished(std::string_view team)
