--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -108,8 +108,8 @@
             m_claims.erase(it);
             continue;
         }
-        // Two requests of this process can claim the same key. In one transaction the
-        // conditions of both claims would be met.
+        // Two requests of this process can claim the same key. In one transaction the version
+        // checks of both claims would succeed, so the second claim waits for a later one.
         const auto hasSameKey = [&](const RowCheck &check) {
             return check.key == it->second.rowKey;
         };
--- a/src/libbalsamloft/configproposals.cpp
+++ b/src/libbalsamloft/configproposals.cpp
@@ -120,7 +120,8 @@
         outcome.kind = ProposalOutcome::Kind::DryRun;
         return decide(std::move(outcome), now, actions);
     }
-    // The first attempt fixes the base version; later attempts rebase onto newer ones.
+    // The first attempt fixes the base version; later attempts rebase the proposal onto newer
+    // versions.
     if (!pending.proposal.baseVersion)
         pending.proposal.baseVersion = m_head.version;
     commit(pending, std::move(*edits), now, actions);
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -50,7 +50,7 @@
         finishRunning();
     }
 
-    /// Requests that were sent to an endpoint, by key.
+    /// Number of requests sent to an endpoint, by key.
     const std::map<std::string, int> &executions() const { return m_executions; }
     std::size_t storedAnswers() const { return m_storedAnswers; }
 
@@ -308,7 +308,8 @@
             RC_ASSERT(expectedText.starts_with(record.text()));
             if (record.answer)
                 RC_ASSERT(record.answer->body == expectedText);
-            // A restart clears an engine's log, so attempts can be missing, but never too many.
+            // A restart clears an engine's log, so the logs may lack attempts, but never contain
+            // additional ones.
             if (record.refusal && record.refusal->ran == Executed::No)
                 RC_ASSERT(attempts[id].empty());
             if (record.request.nonIdempotent)
