--- a/src/fakes/layeremulator.h
+++ b/src/fakes/layeremulator.h
@@ -39,7 +39,7 @@
     /// first stage of most paths.
     std::vector<Duration> firstEngineFailures;
     Duration targetLatency {500'000};
-    Duration targetEventGap {200'000};
+    Duration targetEventPause {200'000};
     LayerPlannerSettings planner;
     RelaySettings relay;
     std::uint64_t seed = 1;
