--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -191,8 +191,8 @@
     m_trail += text;
 }
 
-/// Logs the request of a broken attempt and how far it had come. When an engine crashes, the
-/// requests that it was processing are the candidates for the cause.
+/// Logs the request of a failed attempt, with the time and the events until the failure. When an
+/// engine crashes, an operator can find the requests that may have caused the crash.
 void CallerSession::logBrokenAttempt() const
 {
     logDecision("request", "broken off",
@@ -219,7 +219,7 @@
     request.outcome = outcome;
     request.duration = now - m_startedAt;
     if (m_streamBegun)
-        request.firstEvent = first;
+        request.timeToFirstEvent = first;
     request.longestPause = m_longestPause;
     request.late = late;
     m_server.requestMetrics().record(request);
--- a/src/entry/callerattempts.cpp
+++ b/src/entry/callerattempts.cpp
@@ -63,9 +63,9 @@
     const Time now = steadyNow();
     // The key may have been withdrawn while the request waited for a connection or while this
     // process was paused.
-    const bool keyed = !m_teamKey.empty() && !m_streamBegun;
+    const bool requiresKey = !m_teamKey.empty() && !m_streamBegun;
     const RouteMapPtr &table = m_server.table();
-    if (keyed && (!m_server.keysUpToDate() || !table->team(m_teamKey))) {
+    if (requiresKey && (!m_server.keysUpToDate() || !table->team(m_teamKey))) {
         RelayActions actions;
         const FlightId flight = *m_flight;
         m_server.relay().callerGone(flight, now, actions);
--- a/src/entry/callersession.h
+++ b/src/entry/callersession.h
@@ -13,8 +13,8 @@
 
 class TrafficServer;
 
-/// Reads requests one after another, stores the current one while the relay decides on it, and
-/// writes the answer.
+/// Reads the requests of a caller one after another, submits each to the relay, and writes the
+/// answer.
 class CallerSession : public std::enable_shared_from_this<CallerSession>, private ExchangeHandler
 {
 public:
@@ -35,7 +35,7 @@
     /// Checks the timeouts of connection attempts and of idle or slow callers.
     void tick(Time now);
 
-    /// Closes the connection if no request is in progress and it has been idle for a while.
+    /// Closes the connection if it has no request in progress and has been idle for a short time.
     void closeIfIdle(Time now);
     void close();
     bool idle() const { return !m_flight && m_unread.empty() && !m_writing; }
@@ -96,7 +96,7 @@
     std::optional<EventSplitter> m_events;
     std::optional<FlightId> m_flight;
     std::uint32_t m_attempt = 0;
-    std::string m_firstEndpoint; ///< of the current attempt
+    std::string m_firstEndpoint; ///< endpoint that the current attempt is sent to
     Time m_sentAt {};
     std::uint64_t m_eventsBeforeAttempt = 0; ///< events passed on before the current attempt
     Time m_startedAt {};
--- a/src/entry/control.cpp
+++ b/src/entry/control.cpp
@@ -229,7 +229,7 @@
     const Time now = steadyNow();
     if (source.isStore()) {
         m_directory.storeFailed(now);
-        m_server.storeLost();
+        m_server.markStoreUnavailable();
     } else if (answered) {
         m_directory.recordEmptyAnswer(source.peer(), now);
     } else {
@@ -339,9 +339,9 @@
 /// snapshot contains the row again.
 void Control::logSkippedRow(const StoreRow &row, const Reason &reason)
 {
-    constexpr std::size_t MaxRemembered = 1000;
+    constexpr std::size_t MaxSkippedRows = 1000;
     constexpr std::size_t MaxShownLength = 80;
-    if (m_skippedRows.size() >= MaxRemembered)
+    if (m_skippedRows.size() >= MaxSkippedRows)
         m_skippedRows.clear();
     const auto [skipped, inserted] = m_skippedRows.try_emplace(row.key, row.version);
     if (!inserted && std::exchange(skipped->second, row.version) == row.version)
@@ -358,7 +358,7 @@
     if (!m_fleet.dirty())
         return;
     const FleetPtr before = std::exchange(m_fleetSnapshot, m_fleet.snapshot());
-    m_server.keepOnly(*m_fleetSnapshot);
+    m_server.pruneEngines(*m_fleetSnapshot);
     logDepartures(*before, *m_fleetSnapshot);
     logDecision("endpoints", "changed",
                 {{"number", std::int64_t(m_fleetSnapshot->number)},
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -19,11 +19,12 @@
 
 namespace balsamloft {
 
-/// Names of the table that lists the instances, and of the row that holds the placement lease.
+/// Name of the table that lists the instances, and row key of the placement lease.
 inline constexpr std::string_view InstanceTable = "instances";
 inline constexpr std::string_view LeaseKey = "placement";
 
-/// Table of the requests under which endpoints crashed, and of trials.
+/// Name of the table of crashes and trials: requests under which endpoints crashed, and permits to
+/// send such a request again.
 inline constexpr std::string_view CrashTable = "crashes";
 
 /// Timeout of a call to the store.
--- a/src/entry/controlengines.cpp
+++ b/src/entry/controlengines.cpp
@@ -17,7 +17,8 @@
 
 } // namespace
 
-/// The domain reader polls the engines of its domain and publishes their states to the others.
+/// Polls the engines of this instance's domain. Only the domain reader does so; it publishes the
+/// states to the other instances.
 void Control::pollEngines(Time now)
 {
     if (!isDomainReader() || !m_table)
@@ -51,8 +52,8 @@
     const PolledEngine &polled = it->second;
     if (polled.pollPending)
         return false;
-    // An engine that did not answer is polled at a fixed interval, however full its memory is:
-    // polls missed in quick succession would not prove that it is unresponsive.
+    // An engine that did not answer is polled at a fixed interval, regardless of its memory usage:
+    // several polls missed within a short time do not prove that the engine is unresponsive.
     const Duration pause =
         polled.misses > 0
             ? SilentEnginePollInterval
@@ -140,8 +141,8 @@
             m_otherDomainReports.asOf[domain] = std::max(m_otherDomainReports.asOf[domain], at);
 }
 
-/// Publishes the state of an engine only if the change affects routing: with a thousand engines
-/// in a domain, all states to all instances would exceed the bandwidth of their links.
+/// Publishes the engine states whose changes affect routing. Sending the states of a thousand
+/// engines of a domain to all instances would exceed the bandwidth of their links.
 void Control::publishEngineStates()
 {
     EngineReports reports = std::exchange(m_otherDomainReports, {});
@@ -182,8 +183,8 @@
     }
 }
 
-/// Returns the engines of the domain that do not answer, or none if more than half of the engines
-/// do not answer: then this instance itself is slow or partitioned, and publishing them as
+/// Returns the engines of the domain that do not answer, or nullopt if more than half of the
+/// engines do not answer: then this instance itself is slow or partitioned, and publishing them as
 /// unresponsive would leave the whole domain without paths.
 std::optional<std::set<std::string>> Control::silentEngines() const
 {
@@ -215,7 +216,8 @@
     return fleet;
 }
 
-/// The domain reader fills the coverage gaps of its domain, whether or not it holds the lease.
+/// Fills the coverage gaps of this instance's domain. Only the domain reader does so, whether or
+/// not it holds the placement lease.
 void Control::fillGaps(Time now)
 {
     if (m_stopping || !m_table || !m_fleet.loaded() || !isDomainReader())
@@ -242,8 +244,8 @@
         m_gapFiller.orderSent(order, steadyNow());
     else
         m_planner.orderSent(order, steadyNow());
-    // Reads the current state first: the list is one or two seconds old, and an order must name
-    // the number of orders that the engine has accepted so far.
+    // The current state is read first: the list of endpoints is one or two seconds old, and an
+    // order must contain the number of orders that the engine has accepted so far.
     engineCall(order.endpoint, order.address, {"GET", std::string(m_protocol.reportTarget()), {}},
                [this, order](const CallOutcome &outcome) {
                    Reason reason;
--- a/src/entry/controlinstances.cpp
+++ b/src/entry/controlinstances.cpp
@@ -88,11 +88,11 @@
             rows.push_back({{row.key, *domain, *peer}, *seenMs});
     }
     std::vector<PeerInstance> instances = m_instanceList.update(rows, state.storeMs);
-    const Duration clock = m_storeOffset.value_or(Duration {});
+    const Duration clockOffset = m_storeOffset.value_or(Duration {});
     const bool listChanged = instances != m_instances;
-    if (!listChanged && clock - m_publishedClockOffset < ClockTolerance)
+    if (!listChanged && clockOffset - m_publishedClockOffset < ClockTolerance)
         return;
-    m_publishedClockOffset = clock;
+    m_publishedClockOffset = clockOffset;
     if (listChanged) {
         m_instances = std::move(instances);
         m_directory.setInstances(m_instances);
@@ -101,7 +101,7 @@
                      {"all", std::int64_t(m_directory.instanceCount())}});
     }
     m_events.instances(
-        {m_instances, m_directory.instancesInDomain(), m_directory.instanceCount(), clock});
+        {m_instances, m_directory.instancesInDomain(), m_directory.instanceCount(), clockOffset});
 }
 
 void Control::writeInstanceRow(bool leaving, std::function<void()> done)
--- a/src/entry/httpmessage_test.cpp
+++ b/src/entry/httpmessage_test.cpp
@@ -58,7 +58,8 @@
     }
 }
 
-TEST_CASE("a closed connection completes an answer without a length, but not one that is too short")
+TEST_CASE(
+    "a closed connection completes an answer without Content-Length, but not a truncated answer")
 {
     MessageReader reader(MessageReader::Kind::Response, {});
     reader.consume("HTTP/1.1 200 OK\r\n\r\npart");
--- a/src/entry/peerserver.cpp
+++ b/src/entry/peerserver.cpp
@@ -150,7 +150,7 @@
     return it == m_engines.end() ? nullptr : &it->second.state;
 }
 
-void PeerServer::keepOnly(const FleetSnapshot &fleet)
+void PeerServer::pruneEngines(const FleetSnapshot &fleet)
 {
     std::erase_if(m_engines, [&](const auto &each) { return !fleet.find(each.first); });
 }
@@ -186,7 +186,7 @@
     }
 }
 
-void PeerServer::storeLost()
+void PeerServer::markStoreUnavailable()
 {
     for (TableState &state : m_states)
         state.fromStore = false;
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -66,7 +66,7 @@
     void tableChanged(SharedTable table);
 
     /// Stops marking the replicas as current, because the store does not answer.
-    void storeLost();
+    void markStoreUnavailable();
 
     /// Adds engine states that are sent along with updates of the endpoints.
     void addReports(const EngineReports &reports);
@@ -75,7 +75,7 @@
     const EngineState *publishedState(std::string_view id) const;
 
     /// Removes the states of engines that are not in \a fleet.
-    void keepOnly(const FleetSnapshot &fleet);
+    void pruneEngines(const FleetSnapshot &fleet);
 
 private:
     /// A query that waits for changes.
--- a/src/entry/requestmetrics.cpp
+++ b/src/entry/requestmetrics.cpp
@@ -17,11 +17,11 @@
 {
     const auto kind = static_cast<std::size_t>(outcome.kind);
     m_outcomes[{outcome.kind, std::string(outcome.outcome)}] += 1;
-    m_late[kind] += outcome.late ? 1 : 0;
+    m_lateCounts[kind] += outcome.late ? 1 : 0;
     m_duration[kind].add(outcome.duration);
-    if (!outcome.firstEvent)
+    if (!outcome.timeToFirstEvent)
         return;
-    m_firstEvent.add(*outcome.firstEvent);
+    m_timeToFirstEvent.add(*outcome.timeToFirstEvent);
     m_longestPause.add(outcome.longestPause);
 }
 
@@ -32,12 +32,12 @@
                      kindLabel(static_cast<std::size_t>(key.first)) + ",outcome=\"" + key.second
                          + "\"",
                      static_cast<double>(count), text);
-    for (std::size_t kind = 0; kind < Kinds; ++kind) {
+    for (std::size_t kind = 0; kind < KindCount; ++kind) {
         renderSample("balsamloft_requests_late_total", kindLabel(kind),
-                     static_cast<double>(m_late[kind]), text);
+                     static_cast<double>(m_lateCounts[kind]), text);
         m_duration[kind].render("balsamloft_request_seconds", kindLabel(kind), text);
     }
-    m_firstEvent.render("balsamloft_first_event_seconds", "", text);
+    m_timeToFirstEvent.render("balsamloft_first_event_seconds", "", text);
     m_longestPause.render("balsamloft_longest_pause_seconds", "", text);
 }
 
--- a/src/entry/requestmetrics.h
+++ b/src/entry/requestmetrics.h
@@ -17,7 +17,7 @@
     RequestKind kind = RequestKind::Safe;
     std::string_view outcome;
     Duration duration {};
-    std::optional<Duration> firstEvent; ///< time to the first event; only for streams with events
+    std::optional<Duration> timeToFirstEvent; ///< only for streams with events
     Duration longestPause {}; ///< between two events of a stream
     bool late = false; ///< a latency target of the route was missed
 };
@@ -31,12 +31,12 @@
     void render(std::string &text) const;
 
 private:
-    static constexpr std::size_t Kinds = 3;
+    static constexpr std::size_t KindCount = 3;
 
     std::map<std::pair<RequestKind, std::string>, std::uint64_t> m_outcomes;
-    std::array<std::uint64_t, Kinds> m_late {};
-    std::array<DurationSummary, Kinds> m_duration;
-    DurationSummary m_firstEvent;
+    std::array<std::uint64_t, KindCount> m_lateCounts {};
+    std::array<DurationSummary, KindCount> m_duration;
+    DurationSummary m_timeToFirstEvent;
     DurationSummary m_longestPause;
 };
 
--- a/src/entry/tablesource.cpp
+++ b/src/entry/tablesource.cpp
@@ -12,8 +12,8 @@
 
 /// A call fails if its answer has not begun this long after the requested wait.
 constexpr Duration StoreResponseTimeout {500'000};
-/// Overlap of successive queries for engine states: a peer may receive an engine state up to this
-/// much later than the peer queried before.
+/// Added to the maximum age of engine states in a query: the queried peer may have received a state
+/// up to this much later than the peer that was queried before.
 constexpr Duration ReportOverlap {2'000'000};
 
 CallLimits storeLimits(Duration wait)
@@ -105,8 +105,9 @@
     m_call->start();
 }
 
-/// The age limit of engine states to query. A follower that switches to another peer does not query
-/// all states again: that would exceed the bandwidth when many followers switch at once.
+/// Returns the maximum age of the engine states to query; 0: all states. A follower that switches
+/// to another peer does not query all states again, since the answers would exceed the bandwidth
+/// when many followers switch at once.
 Duration PeerSource::changedWithin() const
 {
     if (*m_lastReportAt == Time {})
--- a/src/entry/timedcall.cpp
+++ b/src/entry/timedcall.cpp
@@ -85,12 +85,12 @@
 }
 
 void startCall(ConnectionPool &pool, const std::string &endpoint, const std::string &address,
-               const OutgoingCall &call, Duration within, TimedCall::Callback callback)
+               const OutgoingCall &call, Duration timeout, TimedCall::Callback callback)
 {
     ExchangeSettings settings;
     settings.endpoint = endpoint;
     settings.address = address;
-    std::make_shared<TimedCall>(pool, std::move(settings), formatRequest(call, address), within,
+    std::make_shared<TimedCall>(pool, std::move(settings), formatRequest(call, address), timeout,
                                 std::move(callback))
         ->start();
 }
--- a/src/entry/timedcall.h
+++ b/src/entry/timedcall.h
@@ -61,7 +61,7 @@
 /// Sends \a call to the endpoint with the id \a endpoint at \a address, on a pooled connection
 /// if there is one.
 void startCall(ConnectionPool &pool, const std::string &endpoint, const std::string &address,
-               const OutgoingCall &call, Duration within, TimedCall::Callback callback);
+               const OutgoingCall &call, Duration timeout, TimedCall::Callback callback);
 
 /// Formats \a call as an HTTP/1.1 request to \a host.
 std::string formatRequest(const OutgoingCall &call, std::string_view host);
--- a/src/entry/trafficserver.cpp
+++ b/src/entry/trafficserver.cpp
@@ -326,8 +326,8 @@
     });
 }
 
-/// Expires trial permits after a suspension of the machine. The steady clock stops meanwhile, so
-/// they would appear to be still valid.
+/// Expires trial permits after a suspension of the machine. The steady clock stops
+/// during a suspension, so expired permits would appear to be still valid.
 void TrafficServer::checkSuspension()
 {
     constexpr Duration SuspensionTolerance {50'000};
--- a/src/libweb/httpclient.cpp
+++ b/src/libweb/httpclient.cpp
@@ -139,8 +139,8 @@
 
 void HttpClient::Call::write()
 {
-    // Checked as late as possible, since the process may have been paused after the decision to
-    // send.
+    // maySend() is called as late as possible, since the process may have been paused after the
+    // decision to send.
     if (m_options.maySend && !m_options.maySend()) {
         asio::post(m_shared->context, [self = shared_from_this()] {
             self->fail(HttpFailure::Kind::NotSent, "canceled before it was sent");
--- a/src/libweb/httpserver.cpp
+++ b/src/libweb/httpserver.cpp
@@ -204,7 +204,7 @@
             const std::size_t size = self->m_stream.socket().receive(
                 asio::buffer(&byte, 1), tcp::socket::message_peek, peekError);
             if (!peekError && size > 0)
-                return; // a pipelined request; read after this one is answered
+                return; // a pipelined request; read after the current request is answered
             if (peekError == asio::error::would_block)
                 return self->watchCaller();
             self->m_callerClosed = true;
--- a/testsuite/entry/entry_test.cpp
+++ b/testsuite/entry/entry_test.cpp
@@ -74,7 +74,7 @@
 TEST_CASE("an invalid answer of an endpoint is not passed to the caller", "[process]")
 {
     // The answer belongs to another request, lacks the proof of execution, is truncated, is encoded
-    // or is no HTTP. The request is unsafe, so it is not retried and fails with 502.
+    // or is not HTTP. The request is unsafe, so it is not retried and fails with 502.
     const std::string wrong = GENERATE(
         std::string(
             "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nSeal: s\r\nContent-Length: 4\r\n\r\nevil"),
@@ -95,7 +95,7 @@
 
 TEST_CASE("a connection with bytes after an answer is not reused", "[process]")
 {
-    // The endpoint sends an unsolicited second answer, which the next caller must not get.
+    // The endpoint sends an unsolicited second answer, which the next caller must not receive.
     EntryHarness entry;
     std::atomic<int> count {0};
     RawServer endpoint([&](const std::string &request) {
@@ -254,7 +254,7 @@
                            R"({"service":"plain","address":")" + left.address()
                                + R"(","domain":"d","kind":"card"})");
     entry.addEndpoint("later", "plain", later.address());
-    CHECK(entry.answersWith("/safe/x", "later")); // the list has been read since
+    CHECK(entry.answersWith("/safe/x", "later")); // the instance has read both changes
     for (int i = 0; i < 20; ++i)
         entry.post("/safe/x");
     CHECK(left.requests().empty());
