--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -59,7 +59,7 @@
         logOutcome("passed", m_answer->head().status, "");
     } else {
         // A complete stream without events.
-        return refuse(502, "stream without events");
+        return refuse(502, "endpoint sent a stream without events");
     }
     finishRequest();
 }
--- a/src/entry/callersession.cpp
+++ b/src/entry/callersession.cpp
@@ -101,9 +101,9 @@
     m_closeAfterAnswer = true;
     switch (m_request->failure()) {
     case MessageReader::Failure::HeaderTooLarge:
-        return refuse(431, "header too large");
+        return refuse(431, "request header too large");
     case MessageReader::Failure::BodyTooLarge:
-        return refuse(413, "body too large");
+        return refuse(413, "request body too large");
     default:
         return refuse(400, "malformed request");
     }
@@ -265,7 +265,7 @@
     const bool partial = m_request && m_request->started();
     if (partial && now - m_lastReadAt >= limits.headerTimeout) {
         m_closeAfterAnswer = true;
-        return refuse(408, "request not completed in time");
+        return refuse(408, "request not received completely in time");
     }
     if (!partial && now - m_lastReadAt >= limits.idleTimeout)
         close();
--- a/src/entry/settings.cpp
+++ b/src/entry/settings.cpp
@@ -120,7 +120,7 @@
 {
     std::string file;
     if (!gflags::GetCommandLineOption("flagfile", &file) || file.empty()) {
-        reason = "no --flagfile was given";
+        reason = "cannot reload settings: the process was started without --flagfile";
         return std::nullopt;
     }
     const gflags::FlagSaver startingValues;
--- a/src/entry/sockets.cpp
+++ b/src/entry/sockets.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Milliseconds within which sent data must be acknowledged.
-constexpr int UnacknowledgedMs = 1500;
+/// Time within which sent data must be acknowledged.
+constexpr int AcknowledgmentTimeoutMs = 1500;
 
 } // namespace
 
@@ -18,7 +18,7 @@
 {
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
-    const int limit = UnacknowledgedMs;
+    const int limit = AcknowledgmentTimeoutMs;
     ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof limit);
 }
 
--- a/src/libpeer/peercodec.cpp
+++ b/src/libpeer/peercodec.cpp
@@ -91,7 +91,7 @@
     PeerMessage message;
     if (envelope.kind() > static_cast<std::uint32_t>(PeerMessage::Kind::ConfigFull)
         || !fromWire(envelope.from(), message.from) || message.from.name.empty()) {
-        reason = "unknown kind or sender";
+        reason = "unknown message kind or invalid sender";
         return std::nullopt;
     }
     message.kind = static_cast<PeerMessage::Kind>(envelope.kind());
