--- a/src/entry/calleranswers.cpp
+++ b/src/entry/calleranswers.cpp
@@ -208,12 +208,12 @@
     const Time now = steadyNow();
     const Duration first =
         m_firstEventAt > m_startedAt ? m_firstEventAt - m_startedAt : Duration {};
-    const bool late =
-        m_route
-        && (first > m_route->targetLatency
-            || (m_route->targetEventPause > Duration {} && m_longestPause > m_route->targetEventPause)
-            || (m_route->kind != RequestKind::Stream
-                && now - m_startedAt > m_route->targetLatency));
+    const bool late = m_route
+                      && (first > m_route->targetLatency
+                          || (m_route->targetEventPause > Duration {}
+                              && m_longestPause > m_route->targetEventPause)
+                          || (m_route->kind != RequestKind::Stream
+                              && now - m_startedAt > m_route->targetLatency));
     RequestOutcome request;
     request.kind = m_route ? m_route->kind : RequestKind::Safe;
     request.outcome = outcome;
