--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -25,7 +25,7 @@
 
 inline constexpr std::size_t SharedTableCount = 4;
 
-/// A query for the changes of a table and, with the endpoints, for engine states.
+/// A query for the changes of a table; for the endpoints, also for engine states.
 struct UpdateQuery
 {
     std::size_t table = 0; ///< a SharedTable
@@ -33,7 +33,7 @@
     Duration wait {}; ///< how long the answer may be delayed until there are changes
     /// Time of this server up to which the follower has all engine states; 0: none.
     std::uint64_t statesSinceMs = 0;
-    /// Without `statesSinceMs`: only states that changed within this time; 0: all.
+    /// Used if `statesSinceMs` is 0: only states that changed within this time; 0: all states.
     Duration changedWithin {};
 };
 
@@ -45,8 +45,8 @@
 {
     TableCopy copy;
     Time knownAt {}; ///< complete as of this time of bootNow(); default: never read
-    std::int64_t storeMs = 0; ///< store's clock at its last answer
-    bool fromStore = false; ///< last read from the store itself, which has not failed since
+    std::int64_t storeMs = 0; ///< store's clock when the store last answered
+    bool fromStore = false; ///< last read from the store, without a failure since
 };
 
 /// Answers update queries, immediately or as soon as there are changes. Uses HTTP with a
--- a/src/entry/rowfields.h
+++ b/src/entry/rowfields.h
@@ -14,7 +14,7 @@
 std::optional<std::int64_t> numberField(const boost::json::object &object, std::string_view name);
 std::optional<std::string> textField(const boost::json::object &object, std::string_view name);
 
-/// Rows hold times as milliseconds of the store's clock.
+/// Convert between a time of the store's clock and the milliseconds that rows contain.
 Time timeFromMilliseconds(std::int64_t milliseconds);
 std::int64_t toMilliseconds(Time time);
 
