--- a/src/libbalsamloft/placementkeeper.cpp
+++ b/src/libbalsamloft/placementmanager.cpp
@@ -1,4 +1,4 @@
-#include <balsamloft/placementkeeper.h>
+#include <balsamloft/placementmanager.h>
 
 #include "jsonreader.h"
 
@@ -29,15 +29,15 @@
                       {"layers", {assignment.layers.begin, assignment.layers.end}}});
 }
 
-PlacementKeeper::PlacementKeeper(PlacementKeeperSettings settings)
+PlacementManager::PlacementManager(PlacementManagerSettings settings)
     : m_settings(std::move(settings))
     , m_placement(m_settings.placement)
     , m_orders(m_settings.orders)
 {
 }
 
-std::vector<std::string> PlacementKeeper::placeableEngines(const Config &config,
-                                                           std::string_view domain)
+std::vector<std::string> PlacementManager::placeableEngines(const Config &config,
+                                                            std::string_view domain)
 {
     std::vector<std::string> names;
     for (const Endpoint &endpoint : config.endpoints()) {
@@ -47,16 +47,16 @@
     return names;
 }
 
-void PlacementKeeper::note(const std::string &line)
+void PlacementManager::addNote(const std::string &line)
 {
     if (m_notes.size() >= MaxNotes)
         m_notes.erase(m_notes.begin());
     m_notes.push_back(line);
 }
 
-void PlacementKeeper::tick(const Config &config, const ConfigEntries &entries,
-                           const LeaseView &lease, const DemandFunction &demand, Time now,
-                           OrderActions &orders, std::vector<ProposePlacement> &proposals)
+void PlacementManager::tick(const Config &config, const ConfigEntries &entries,
+                            const LeaseView &lease, const DemandFunction &demand, Time now,
+                            OrderActions &orders, std::vector<ProposePlacement> &proposals)
 {
     if (!lease.holds) {
         m_loading.clear();
@@ -67,9 +67,9 @@
     m_fencing = lease.fencing;
     if (now - m_plannedAt >= m_settings.planInterval) {
         m_plannedAt = now;
-        startSteps(config, demand, now);
+        planSteps(config, demand, now);
     }
-    assertAll(config, now);
+    updateWantedStates(config, now);
     m_orders.tick(lease.holds, lease.fencing, lease.acquiredAt, now, orders);
     if (m_proposing)
         return;
@@ -79,7 +79,7 @@
     m_proposing = !proposals.empty();
 }
 
-void PlacementKeeper::startSteps(const Config &config, const DemandFunction &demand, Time now)
+void PlacementManager::planSteps(const Config &config, const DemandFunction &demand, Time now)
 {
     std::vector<PlacementEngine> engines;
     std::vector<Assignment> current;
@@ -88,7 +88,7 @@
             continue;
         const Accelerator *accelerator = config.accelerator(endpoint.accelerator);
         const bool busy =
-            m_unloading.contains(endpoint.name) || m_routedAway.contains(endpoint.name);
+            m_unloading.contains(endpoint.name) || m_unroutedSince.contains(endpoint.name);
         engines.push_back(
             {endpoint.name, accelerator ? accelerator->memoryGigabytes : 0, endpoint.speed, !busy});
         if (!endpoint.model.empty() && !m_unloading.contains(endpoint.name))
@@ -97,8 +97,10 @@
     }
     for (const auto &[replica, loading] : m_loading) {
         for (const Assignment &part : loading.parts) {
-            const auto same = [&](const Assignment &other) { return other.engine == part.engine; };
-            if (std::none_of(current.begin(), current.end(), same))
+            const auto sameEngine = [&](const Assignment &other) {
+                return other.engine == part.engine;
+            };
+            if (std::none_of(current.begin(), current.end(), sameEngine))
                 current.push_back(part);
         }
     }
@@ -108,7 +110,7 @@
                           model.scaleToZero, demand(model.name)});
     const auto steps = m_placement.plan(engines, models, current, m_orders.loading(), now);
     for (const PlacementStep &step : steps) {
-        note(step.reason);
+        addNote(step.reason);
         if (!step.assignments.front().model.empty()) {
             m_loading[step.assignments.front().replica] = {step.assignments, step.reason};
             m_loadsOrdered += step.assignments.size();
@@ -120,7 +122,7 @@
     }
 }
 
-void PlacementKeeper::assertAll(const Config &config, Time now)
+void PlacementManager::updateWantedStates(const Config &config, Time now)
 {
     std::map<std::string, Assignment> wanted;
     for (const Endpoint &endpoint : config.endpoints()) {
@@ -132,7 +134,7 @@
             assignment = {endpoint.name, {}, {}, {}, {}};
         wanted[endpoint.name] = assignment;
         if (!endpoint.model.empty())
-            m_routedAway.erase(endpoint.name);
+            m_unroutedSince.erase(endpoint.name);
     }
     for (const auto &[replica, loading] : m_loading) {
         for (const Assignment &part : loading.parts)
@@ -140,33 +142,34 @@
     }
     for (const auto &[name, assignment] : wanted) {
         const Endpoint &endpoint = *config.endpoint(name);
-        const auto away = m_routedAway.find(name);
-        // Instances that have not heard yet may still send it work: it keeps
-        // what it holds until the change must be in force everywhere.
-        if (assignment.model.empty() && away != m_routedAway.end()) {
-            if (now - away->second < m_settings.routeAwayTime)
+        const auto unrouted = m_unroutedSince.find(name);
+        // Instances that have not received the change may still send requests to the engine.
+        // It keeps its layers until all instances must have applied the change.
+        if (assignment.model.empty() && unrouted != m_unroutedSince.end()) {
+            if (now - unrouted->second < m_settings.unloadDelay)
                 continue;
-            m_routedAway.erase(away);
+            m_unroutedSince.erase(unrouted);
         }
-        m_orders.want(assignment, endpoint.checksFencing);
+        m_orders.setWanted(assignment, endpoint.checksFencing);
     }
 }
 
-void PlacementKeeper::proposeLoaded(const ConfigEntries &entries,
-                                    std::vector<ProposePlacement> &proposals)
+void PlacementManager::proposeLoaded(const ConfigEntries &entries,
+                                     std::vector<ProposePlacement> &proposals)
 {
     for (auto it = m_loading.begin(); it != m_loading.end(); ++it) {
         const std::vector<Assignment> &parts = it->second.parts;
-        const bool inForce = std::all_of(parts.begin(), parts.end(), [&](const Assignment &part) {
-            const auto entry = entries.find(entryPath(part.engine));
-            return entry != entries.end() && entry->second == placementEntry(part);
-        });
-        if (inForce) {
+        const bool inConfiguration =
+            std::all_of(parts.begin(), parts.end(), [&](const Assignment &part) {
+                const auto entry = entries.find(entryPath(part.engine));
+                return entry != entries.end() && entry->second == placementEntry(part);
+            });
+        if (inConfiguration) {
             m_loading.erase(it);
             return;
         }
         const bool loaded = std::all_of(parts.begin(), parts.end(), [&](const Assignment &part) {
-            return m_orders.settled(part.engine);
+            return m_orders.isApplied(part.engine);
         });
         if (!loaded)
             continue;
@@ -183,14 +186,14 @@
     }
 }
 
-void PlacementKeeper::proposeUnload(const ConfigEntries &entries,
-                                    std::vector<ProposePlacement> &proposals)
+void PlacementManager::proposeUnload(const ConfigEntries &entries,
+                                     std::vector<ProposePlacement> &proposals)
 {
     ProposePlacement proposal;
     for (auto it = m_unloading.begin(); it != m_unloading.end();) {
         const auto entry = entries.find(entryPath(it->first));
         if (entry == entries.end()) {
-            m_routedAway.try_emplace(it->first, m_plannedAt);
+            m_unroutedSince.try_emplace(it->first, m_plannedAt);
             it = m_unloading.erase(it);
             continue;
         }
@@ -202,10 +205,10 @@
         proposals.push_back(std::move(proposal));
 }
 
-std::vector<std::string> PlacementKeeper::explain() const
+std::vector<std::string> PlacementManager::explain() const
 {
     std::vector<std::string> lines = m_notes;
-    for (std::string &line : m_orders.unsettled())
+    for (std::string &line : m_orders.mismatches())
         lines.push_back(std::move(line));
     return lines;
 }
--- a/src/libbalsamloft/newsspread_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -1,7 +1,7 @@
-// How knowledge of the store spreads among hundreds of instances, and what that
-// costs the store, in virtual time.
+// Propagation of store changes to hundreds of instances, and its load on the store, in virtual
+// time.
 
-#include "../fakes/newsemulator.h"
+#include "../fakes/propagationemulator.h"
 
 #include <catch2/catch.hpp>
 
@@ -15,14 +15,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-NewsSettings fleetOf(std::size_t instances)
+PropagationSettings fleetOf(std::size_t instances)
 {
-    NewsSettings settings;
+    PropagationSettings settings;
     settings.instancesPerDomain = instances / settings.domains;
     return settings;
 }
 
-/// A configuration of so many routes, as an operator writes it.
+/// Returns a configuration with \a routes routes that vary as operators' routes do, so that it
+/// compresses as well as a configuration in use.
 std::string configurationOf(std::size_t routes)
 {
     std::mt19937_64 random(20261203);
@@ -40,10 +41,11 @@
     return text;
 }
 
-/// A fleet of small instances, one wide link in each domain, that follow a configuration.
-NewsSettings configuredFleet(std::size_t instances, std::string row)
+/// A fleet that follows a configuration, with one fast link in each domain and slow links at
+/// all other instances.
+PropagationSettings configuredFleet(std::size_t instances, std::string row)
 {
-    NewsSettings settings;
+    PropagationSettings settings;
     settings.domains = instances < 100 ? 3 : 5;
     settings.instancesPerDomain = instances / settings.domains;
     settings.writeEvery = Duration {};
@@ -51,8 +53,8 @@
     return settings;
 }
 
-/// Calls to the store a second in the span.
-double callsPerSecond(NewsEmulator &fleet, Duration length)
+/// Runs the fleet for \a length and returns the store calls per second in that time.
+double callsPerSecond(PropagationEmulator &fleet, Duration length)
 {
     const std::uint64_t before = fleet.storeCalls();
     fleet.run(length);
@@ -62,64 +64,66 @@
 
 } // namespace
 
-// Calm, and in an outage of which callers notice nothing: what the store is asked
-// does not grow with the fleet, and all know of its return within two seconds.
-TEST_CASE("the store's calls do not grow with the number of instances")
+// The rate of store calls does not grow with the fleet, neither with a healthy store nor in an
+// outage of the store. Callers do not notice the outage, and 3.5 s after it all instances have
+// current data again.
+TEST_CASE("store call rate stays constant as the number of instances grows")
 {
-    const StoreMood mood = GENERATE(StoreMood::Well, StoreMood::Refusing, StoreMood::Silent);
+    const StoreBehavior behavior =
+        GENERATE(StoreBehavior::Healthy, StoreBehavior::Refusing, StoreBehavior::Silent);
     std::vector<double> rates;
     for (const std::size_t instances : {30U, 100U, 300U, 340U}) {
-        NewsEmulator fleet(fleetOf(instances));
+        PropagationEmulator fleet(fleetOf(instances));
         fleet.run(seconds(3));
         CHECK(fleet.oldestAge() < milliseconds(1'600));
-        fleet.setStore(mood);
+        fleet.setStore(behavior);
         rates.push_back(callsPerSecond(fleet, seconds(10)));
-        fleet.setStore(StoreMood::Well);
+        fleet.setStore(StoreBehavior::Healthy);
         fleet.run(milliseconds(3'500));
         CHECK(fleet.oldestAge() < milliseconds(1'600));
-        CHECK(fleet.liars() == 0);
+        CHECK(fleet.freshnessViolations() == 0);
     }
     CHECK(rates.back() <= rates.front() * 1.2);
-    CHECK(rates.back() < (mood == StoreMood::Well ? 30 : 20));
+    CHECK(rates.back() < (behavior == StoreBehavior::Healthy ? 30 : 20));
 }
 
-// Guards against a reader that tells a whole domain, and whose link is too small for it.
-TEST_CASE("no instance is asked by more others as the fleet grows")
+// Guards against a reader that updates its whole domain by itself and saturates its link.
+TEST_CASE("queries per instance stay bounded as the fleet grows")
 {
-    constexpr std::size_t MostAskers = 10;
+    constexpr std::size_t MaxQueriers = 10;
     for (const std::size_t instances : {30U, 100U, 300U, 340U}) {
-        NewsSettings settings;
+        PropagationSettings settings;
         settings.domains = 3;
         settings.instancesPerDomain = instances / settings.domains;
-        NewsEmulator fleet(settings);
+        PropagationEmulator fleet(settings);
         fleet.run(seconds(3));
-        for (int look = 0; look < 100; ++look) {
+        for (int sample = 0; sample < 100; ++sample) {
             fleet.run(milliseconds(70));
-            REQUIRE(fleet.mostAskers() <= MostAskers);
+            REQUIRE(fleet.maxQueriersPerInstance() <= MaxQueriers);
         }
         CHECK(fleet.oldestAge() < milliseconds(1'600));
     }
 }
 
-// A domain loses the others and the store for six seconds. Its instances go on with
-// what they know; nobody there hammers a store that cannot be reached.
-TEST_CASE("a domain that is cut off asks the store by its readers only")
+// A domain is partitioned from the store and the other domains for six seconds. Its instances
+// keep serving from the data they have, and only its readers retry the unreachable store.
+TEST_CASE("only the readers of a partitioned domain call the store")
 {
-    NewsEmulator fleet(fleetOf(300));
+    PropagationEmulator fleet(fleetOf(300));
     fleet.run(seconds(3));
-    fleet.cutDomain(2, true);
+    fleet.partitionDomain(2, true);
     CHECK(callsPerSecond(fleet, seconds(6)) < 40);
     CHECK(fleet.oldestAge() < milliseconds(1'600));
-    fleet.cutDomain(2, false);
+    fleet.partitionDomain(2, false);
     fleet.run(seconds(4));
     CHECK(fleet.oldestAge() < milliseconds(1'600));
 }
 
-// More than half of the processes die at the same moment and start again two
-// seconds later. Those that live are told on, and those that start learn at once.
-TEST_CASE("instances that start again together know all within three seconds")
+// More than half of the processes die at the same time and restart two seconds later. The
+// others keep getting updates, and the restarted ones are up to date within three seconds.
+TEST_CASE("instances that restart simultaneously are up to date within three seconds")
 {
-    NewsEmulator fleet(fleetOf(300));
+    PropagationEmulator fleet(fleetOf(300));
     fleet.run(seconds(3));
     std::mt19937_64 random(20261203);
     std::vector<std::size_t> dead;
@@ -134,68 +138,68 @@
         fleet.start(each);
     fleet.run(seconds(3));
     CHECK(fleet.oldestAge() < milliseconds(1'600));
-    // One call for each that started, and the readers'.
+    // One call per restarted instance, in addition to the calls of the readers.
     CHECK(fleet.storeCalls() - before < dead.size() + 150);
 }
 
-// Guards against instances that start together, find each other too busy to answer and wait
-// ever longer before they ask again.
-TEST_CASE("a fleet that starts together knows all three seconds after the slowest is up")
+// Guards against instances that start at the same time, find each other too busy to answer and
+// increase their pauses between queries again and again.
+TEST_CASE("a fleet that restarts is up to date three seconds after its slowest instance is up")
 {
-    constexpr Duration MostBusy {10'000'000};
+    constexpr Duration MaxBusy {10'000'000};
     std::mt19937_64 random(20261203);
     for (const std::size_t instances : {30U, 100U, 300U, 340U}) {
-        NewsEmulator fleet(fleetOf(instances));
+        PropagationEmulator fleet(fleetOf(instances));
         fleet.run(seconds(1));
         for (std::size_t i = 0; i < fleet.size(); ++i)
             fleet.kill(i);
         for (std::size_t i = 0; i < fleet.size(); ++i)
-            fleet.start(i, Duration(random() % MostBusy.count()));
-        fleet.run(MostBusy + seconds(3));
+            fleet.start(i, Duration(random() % MaxBusy.count()));
+        fleet.run(MaxBusy + seconds(3));
         CHECK(fleet.oldestAge() < milliseconds(1'600));
     }
 }
 
-// Whatever fails, and whoever reads from whom: news are never taken for newer than
-// they are. On that age rests that a withdrawn key serves no caller, and that a
-// leaving endpoint gets nothing new.
-TEST_CASE("no instance takes its knowledge for newer than it is")
+// Under any faults, and along any path between instances, data must not be recorded as newer
+// than it is. The checks that revoked API keys are rejected and that leaving endpoints get no
+// new requests depend on that age.
+TEST_CASE("recorded data age never understates the actual age under random faults")
 {
     std::mt19937_64 random(20261203);
     for (int round = 0; round < 100'000; ++round) {
-        NewsSettings settings;
+        PropagationSettings settings;
         settings.domains = 1 + random() % 4;
         settings.instancesPerDomain = 1 + random() % 5;
-        NewsEmulator fleet(settings);
-        const auto any = [&] { return static_cast<std::size_t>(random() % fleet.size()); };
+        PropagationEmulator fleet(settings);
+        const auto anyInstance = [&] { return static_cast<std::size_t>(random() % fleet.size()); };
         for (int step = 0; step < 12; ++step) {
-            const auto mood = static_cast<StoreMood>(random() % 3);
+            const auto behavior = static_cast<StoreBehavior>(random() % 3);
             switch (random() % 6) {
             case 0:
-                fleet.setStore(mood);
+                fleet.setStore(behavior);
                 break;
             case 1:
-                fleet.setStore(any(), mood);
+                fleet.setStore(anyInstance(), behavior);
                 break;
             case 2:
-                fleet.cutDomain(random() % settings.domains, random() % 2 == 0);
+                fleet.partitionDomain(random() % settings.domains, random() % 2 == 0);
                 break;
             case 3:
-                fleet.kill(any());
+                fleet.kill(anyInstance());
                 break;
             case 4:
-                fleet.start(any());
+                fleet.start(anyInstance());
                 break;
             default:
                 break;
             }
             fleet.run(Duration(static_cast<std::int64_t>(random() % 900'000)));
         }
-        REQUIRE(fleet.liars() == 0);
-        // Once all is well again, all learn of it.
-        fleet.setStore(StoreMood::Well);
+        REQUIRE(fleet.freshnessViolations() == 0);
+        // After all faults are removed, all instances catch up.
+        fleet.setStore(StoreBehavior::Healthy);
         for (std::size_t domain = 0; domain < settings.domains; ++domain)
-            fleet.cutDomain(domain, false);
+            fleet.partitionDomain(domain, false);
         for (std::size_t i = 0; i < fleet.size(); ++i)
             fleet.start(i);
         fleet.run(seconds(4));
@@ -203,49 +207,50 @@
     }
 }
 
-// Guards against a configuration that stands in line behind copies of itself.
-TEST_CASE("a large configuration is in force everywhere within two seconds of each change")
+// Guards against updates that are delayed because the link is busy with older versions of the
+// same configuration.
+TEST_CASE("a large configuration change reaches all instances within two seconds")
 {
     for (const std::size_t instances : {6U, 75U, 295U}) {
-        NewsEmulator fleet(configuredFleet(instances, configurationOf(2'000)));
+        PropagationEmulator fleet(configuredFleet(instances, configurationOf(2'000)));
         fleet.run(seconds(3));
         for (int change = 0; change < 4; ++change) {
             fleet.write();
             fleet.run(seconds(2));
             CAPTURE(instances, change);
-            CHECK(fleet.upToDate() == fleet.size());
+            CHECK(fleet.upToDateCount() == fleet.size());
         }
     }
 }
 
-// Guards against an answer that is given up under way and sent again by others.
-TEST_CASE("each instance is told a change about once, however long it takes")
+// Guards against answers that are aborted in transit and then sent again by other instances.
+TEST_CASE("a slow transfer of a change is sent about once per instance")
 {
-    constexpr std::size_t UnpackedBytes = 1'000'000;
+    constexpr std::size_t RowBytes = 1'000'000;
     std::mt19937_64 random(20261203);
     std::string row;
-    for (std::size_t i = 0; i < UnpackedBytes; ++i)
+    for (std::size_t i = 0; i < RowBytes; ++i)
         row += static_cast<char>(random());
     for (const std::size_t instances : {6U, 75U, 295U}) {
-        NewsEmulator fleet(configuredFleet(instances, row));
+        PropagationEmulator fleet(configuredFleet(instances, row));
         fleet.run(seconds(3));
         fleet.write();
         fleet.run(seconds(12));
-        CHECK(fleet.upToDate() == fleet.size());
+        CHECK(fleet.upToDateCount() == fleet.size());
         CHECK(static_cast<double>(fleet.answersSent()) <= 1.1 * static_cast<double>(instances));
     }
 }
 
-// Guards against an instance in touch that serves callers by an older configuration, while
-// those whom it reads from die, freeze or are cut off.
-TEST_CASE("what an instance in touch knows is never older than a change may take")
+// Guards against a connected instance that serves callers with an outdated configuration while
+// its sources die, hang or are partitioned.
+TEST_CASE("data age of connected instances stays bounded while other instances fail")
 {
     struct Size
     {
         std::size_t instances;
         int rounds;
-        Duration contact;
-        Duration most;
+        Duration connectedFor;
+        Duration maxAge;
     };
     const std::vector<Size> sizes {{6, 200, seconds(3), seconds(2)},
                                    {9, 200, seconds(3), seconds(2)},
@@ -254,18 +259,20 @@
     std::mt19937_64 random(20261203);
     for (const Size &size : sizes) {
         for (int round = 0; round < size.rounds; ++round) {
-            NewsEmulator fleet(configuredFleet(size.instances, configurationOf(200)));
-            const auto one = [&] { return static_cast<std::size_t>(random() % fleet.size()); };
+            PropagationEmulator fleet(configuredFleet(size.instances, configurationOf(200)));
+            const auto anyInstance = [&] {
+                return static_cast<std::size_t>(random() % fleet.size());
+            };
             for (int step = 0; step < 200; ++step) {
                 switch (random() % 12) {
                 case 0:
-                    fleet.kill(one());
+                    fleet.kill(anyInstance());
                     break;
                 case 1:
-                    fleet.start(one(), Duration(random() % 2'000'000));
+                    fleet.start(anyInstance(), Duration(random() % 2'000'000));
                     break;
                 case 2:
-                    fleet.cutDomain(random() % 3, random() % 3 == 0);
+                    fleet.partitionDomain(random() % 3, random() % 3 == 0);
                     break;
                 case 3:
                     if (random() % 10 == 0)
@@ -281,19 +288,21 @@
                 }
                 fleet.run(milliseconds(50));
                 CAPTURE(size.instances, round, step);
-                REQUIRE(fleet.oldestAgeInTouch(size.contact) <= size.most);
+                REQUIRE(fleet.oldestConnectedAge(size.connectedFor) <= size.maxAge);
             }
         }
     }
 }
 
-// Guards against an instance that asks two dead ones in turn for ever and serves nobody.
-TEST_CASE("an instance that starts knows all within three seconds, whoever is dead")
+// Guards against an instance that alternates between two dead sources forever and never
+// becomes ready.
+TEST_CASE(
+    "a starting instance has data within three seconds while two thirds of the fleet are dead")
 {
     std::mt19937_64 random(20261203);
     for (const std::size_t instances : {6U, 9U, 75U, 295U})
         for (int round = 0; round < 20; ++round) {
-            NewsEmulator fleet(configuredFleet(instances, configurationOf(200)));
+            PropagationEmulator fleet(configuredFleet(instances, configurationOf(200)));
             fleet.run(seconds(1));
             for (std::size_t i = 0; i < fleet.size(); ++i)
                 if (random() % 3 != 0)
@@ -302,6 +311,6 @@
             fleet.start(started);
             fleet.run(seconds(3));
             CAPTURE(instances, round, started);
-            CHECK(fleet.knows(started));
+            CHECK(fleet.hasData(started));
         }
 }
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -9,33 +9,35 @@
 {
 }
 
-bool Quarantine::counts(const Crash &crash, Time now) const
+bool Quarantine::isCounted(const Crash &crash, Time now) const
 {
-    return crash.stage != Stage::Doubtful && now - crash.at < m_settings.keptFor;
+    return crash.stage != Stage::Unconfirmed && now - crash.at < m_settings.retention;
 }
 
 void Quarantine::add(const std::string &digest, const std::string &endpoint, Crash crash)
 {
     m_requests[digest].insert_or_assign(endpoint, crash);
-    m_onEndpoint[endpoint].insert(digest);
+    m_digestsByEndpoint[endpoint].insert(digest);
 }
 
-void Quarantine::forget(const std::string &digest, const std::string &endpoint)
+void Quarantine::remove(const std::string &digest, const std::string &endpoint)
 {
     const auto it = m_requests.find(digest);
     if (it != m_requests.end() && it->second.erase(endpoint) > 0 && it->second.empty())
         m_requests.erase(it);
-    const auto on = m_onEndpoint.find(endpoint);
-    if (on != m_onEndpoint.end() && on->second.erase(digest) > 0 && on->second.empty())
-        m_onEndpoint.erase(on);
+    const auto digests = m_digestsByEndpoint.find(endpoint);
+    if (digests != m_digestsByEndpoint.end() && digests->second.erase(digest) > 0
+        && digests->second.empty())
+        m_digestsByEndpoint.erase(digests);
 }
 
-/// Who is suspected of one end alone makes room, the oldest first: a caller that sends
-/// ever new requests beside ends must not push out those under which several endpoints
-/// ended, nor keep a new one from being suspected.
-bool Quarantine::makeRoom()
+/// Evicts the oldest request with a single crash if the table is full. This way, a caller that
+/// sends many different requests to crashing endpoints can neither evict requests with several
+/// crashes nor prevent new ones from being stored.
+/// \return whether there is space for another request.
+bool Quarantine::ensureSpace()
 {
-    if (m_requests.size() < m_settings.mostDigests)
+    if (m_requests.size() < m_settings.maxDigests)
         return true;
     auto oldest = m_requests.end();
     for (auto it = m_requests.begin(); it != m_requests.end(); ++it)
@@ -48,193 +50,201 @@
     const std::string digest = oldest->first;
     const std::string endpoint = oldest->second.begin()->first;
     const Crash crash = oldest->second.begin()->second;
-    if (crash.stage == Stage::Told || crash.stage == Stage::Shared)
+    if (crash.stage == Stage::Published || crash.stage == Stage::Shared)
         m_retracted.push_back({digest, endpoint, crash.at});
-    forget(digest, endpoint);
+    remove(digest, endpoint);
     return true;
 }
 
-void Quarantine::doubt(const std::string &digest, const std::string &endpoint, Crash crash)
+void Quarantine::addUnconfirmed(const std::string &digest, const std::string &endpoint, Crash crash)
 {
     const auto known = m_requests.find(digest);
     if (known != m_requests.end() && known->second.contains(endpoint))
         return;
-    if (known != m_requests.end() || makeRoom())
+    if (known != m_requests.end() || ensureSpace())
         add(digest, endpoint, crash);
 }
 
-void Quarantine::brokenOff(const std::string &digest, const std::string &endpoint, Time now)
+void Quarantine::attemptBroken(const std::string &digest, const std::string &endpoint, Time now)
 {
-    endpointHeard(endpoint, now);
-    doubt(digest, endpoint, {now, Stage::Doubtful, Sign::BrokenOff, true, now + Duration(1)});
+    endpointSentData(endpoint, now);
+    addUnconfirmed(digest, endpoint,
+                   {now, Stage::Unconfirmed, Interruption::Broken, true, now + Duration(1)});
 }
 
-void Quarantine::givenUp(const std::string &digest, const std::string &endpoint, Time now)
+void Quarantine::attemptAbandoned(const std::string &digest, const std::string &endpoint, Time now)
 {
-    doubt(digest, endpoint,
-          {now, Stage::Doubtful, Sign::GivenUp, true, now + m_settings.endsWithin});
+    addUnconfirmed(
+        digest, endpoint,
+        {now, Stage::Unconfirmed, Interruption::Abandoned, true, now + m_settings.crashDelay});
 }
 
-void Quarantine::stalledAt(const std::string &digest, const std::string &endpoint, Time now)
+void Quarantine::attemptStalled(const std::string &digest, const std::string &endpoint, Time now)
 {
-    doubt(digest, endpoint, {now, Stage::Doubtful, Sign::Stalled, true, now + Duration(1)});
+    addUnconfirmed(digest, endpoint,
+                   {now, Stage::Unconfirmed, Interruption::Stalled, true, now + Duration(1)});
 }
 
-void Quarantine::clearDoubts(const std::string &endpoint, Time aliveAt, bool ofThoseCut)
+void Quarantine::clearUnconfirmed(const std::string &endpoint, Time aliveAt, bool includingBroken)
 {
-    const auto on = m_onEndpoint.find(endpoint);
-    if (on == m_onEndpoint.end())
+    const auto digests = m_digestsByEndpoint.find(endpoint);
+    if (digests == m_digestsByEndpoint.end())
         return;
-    for (const std::string &digest : std::set<std::string>(on->second)) {
+    for (const std::string &digest : std::set<std::string>(digests->second)) {
         const Crash &crash = m_requests[digest][endpoint];
-        if (crash.stage == Stage::Doubtful && aliveAt >= crash.settledFrom
-            && (ofThoseCut || crash.sign == Sign::GivenUp))
-            forget(digest, endpoint);
+        if (crash.stage == Stage::Unconfirmed && aliveAt >= crash.clearedIfAliveAt
+            && (includingBroken || crash.interruption == Interruption::Abandoned))
+            remove(digest, endpoint);
     }
 }
 
-void Quarantine::endpointAnswered(const std::string &endpoint, Time asked)
+void Quarantine::endpointAnswered(const std::string &endpoint, Time queriedAt)
 {
-    clearDoubts(endpoint, asked, true);
+    clearUnconfirmed(endpoint, queriedAt, true);
 }
 
-void Quarantine::endpointHeard(const std::string &endpoint, Time now)
+void Quarantine::endpointSentData(const std::string &endpoint, Time now)
 {
-    clearDoubts(endpoint, now, false);
+    clearUnconfirmed(endpoint, now, false);
 }
 
-/// What is in doubt there since \a last or before ended with the endpoint.
-void Quarantine::settle(const std::string &endpoint, Time endedAt, Time last)
+/// Confirms the crashes of all attempts interrupted at the endpoint up to
+/// \a latestInterruption.
+void Quarantine::confirmCrashes(const std::string &endpoint, Time crashedAt,
+                                Time latestInterruption)
 {
-    const auto on = m_onEndpoint.find(endpoint);
-    if (on == m_onEndpoint.end())
+    const auto digests = m_digestsByEndpoint.find(endpoint);
+    if (digests == m_digestsByEndpoint.end())
         return;
-    for (const std::string &digest : on->second) {
+    for (const std::string &digest : digests->second) {
         Crash &crash = m_requests[digest][endpoint];
-        if (crash.stage == Stage::Doubtful && crash.at <= last)
-            crash = {endedAt, Stage::Own, Sign::BrokenOff, true, {}};
+        if (crash.stage == Stage::Unconfirmed && crash.at <= latestInterruption)
+            crash = {crashedAt, Stage::Confirmed, Interruption::Broken, true, {}};
     }
 }
 
-void Quarantine::endpointEnded(const std::string &endpoint, Time now)
+void Quarantine::endpointCrashed(const std::string &endpoint, Time now)
 {
-    settle(endpoint, now, Time::max());
+    confirmCrashes(endpoint, now, Time::max());
 }
 
-void Quarantine::endpointSilent(const std::string &endpoint, Time at)
+void Quarantine::endpointUnresponsive(const std::string &endpoint, Time at)
 {
-    settle(endpoint, at, at);
+    confirmCrashes(endpoint, at, at);
 }
 
-void Quarantine::endpointVanished(const std::string &endpoint, Time now)
+void Quarantine::endpointDelisted(const std::string &endpoint, Time now)
 {
-    const auto on = m_onEndpoint.find(endpoint);
-    if (on == m_onEndpoint.end())
+    const auto digests = m_digestsByEndpoint.find(endpoint);
+    if (digests == m_digestsByEndpoint.end())
         return;
-    for (const std::string &digest : std::set<std::string>(on->second)) {
+    for (const std::string &digest : std::set<std::string>(digests->second)) {
         const Crash &crash = m_requests[digest][endpoint];
-        if (crash.stage == Stage::Doubtful && crash.sign != Sign::BrokenOff)
-            forget(digest, endpoint);
+        if (crash.stage == Stage::Unconfirmed && crash.interruption != Interruption::Broken)
+            remove(digest, endpoint);
     }
-    endpointEnded(endpoint, now);
+    endpointCrashed(endpoint, now);
 }
 
-void Quarantine::cameThrough(const std::string &digest, Time now)
+void Quarantine::requestSucceeded(const std::string &digest, Time now)
 {
     if (const auto it = m_requests.find(digest); it != m_requests.end()) {
         for (const auto &[endpoint, crash] : Crashes(it->second)) {
-            if (crash.stage == Stage::Told || crash.stage == Stage::Shared)
+            if (crash.stage == Stage::Published || crash.stage == Stage::Shared)
                 m_retracted.push_back({digest, endpoint, crash.at});
-            forget(digest, endpoint);
+            remove(digest, endpoint);
         }
     }
-    if (!m_good.insert_or_assign(digest, now).second)
+    if (!m_successes.insert_or_assign(digest, now).second)
         return;
-    m_goodOrder.push_back(digest);
-    if (m_goodOrder.size() > m_settings.mostGood) {
-        m_good.erase(m_goodOrder.front());
-        m_goodOrder.pop_front();
+    m_successOrder.push_back(digest);
+    if (m_successOrder.size() > m_settings.maxSuccesses) {
+        m_successes.erase(m_successOrder.front());
+        m_successOrder.pop_front();
     }
 }
 
-bool Quarantine::sawItself(const std::string &digest, const std::string &endpoint) const
+bool Quarantine::wasObservedHere(const std::string &digest, const std::string &endpoint) const
 {
-    const auto under = m_requests.find(digest);
-    if (under == m_requests.end())
+    const auto records = m_requests.find(digest);
+    if (records == m_requests.end())
         return false;
-    const auto crash = under->second.find(endpoint);
-    return crash != under->second.end() && crash->second.own;
+    const auto crash = records->second.find(endpoint);
+    return crash != records->second.end() && crash->second.observedHere;
 }
 
-void Quarantine::learn(const std::vector<CrashRecord> &all)
+void Quarantine::setShared(const std::vector<CrashRecord> &all)
 {
-    m_shared = all.size();
-    std::set<std::pair<std::string_view, std::string_view>> told;
+    m_sharedCount = all.size();
+    std::set<std::pair<std::string_view, std::string_view>> published;
     for (const CrashRecord &each : all)
-        told.emplace(each.digest, each.endpoint);
+        published.emplace(each.digest, each.endpoint);
     std::vector<CrashRecord> gone;
     for (const auto &[digest, crashes] : m_requests)
         for (const auto &[endpoint, crash] : crashes)
-            if (crash.stage == Stage::Shared && !told.contains({digest, endpoint}))
+            if (crash.stage == Stage::Shared && !published.contains({digest, endpoint}))
                 gone.push_back({digest, endpoint, crash.at});
     for (const CrashRecord &each : gone)
-        forget(each.digest, each.endpoint);
+        remove(each.digest, each.endpoint);
     for (const CrashRecord &each : all) {
-        // Who saw it come through since knows better than who saw it stand beside an end.
-        const auto good = m_good.find(each.digest);
-        if (good != m_good.end() && good->second >= each.at)
+        // A success after the crash is stronger evidence than a record of the crash.
+        const auto success = m_successes.find(each.digest);
+        if (success != m_successes.end() && success->second >= each.at)
             m_retracted.push_back(each);
         else
             add(each.digest, each.endpoint,
                 {each.at,
                  Stage::Shared,
-                 Sign::BrokenOff,
-                 sawItself(each.digest, each.endpoint),
+                 Interruption::Broken,
+                 wasObservedHere(each.digest, each.endpoint),
                  {}});
     }
 }
 
-bool Quarantine::worthTelling(const Crashes &crashes, const Crash &crash, Time now) const
+bool Quarantine::shouldPublish(const Crashes &crashes, const Crash &crash, Time now) const
 {
-    if (crash.stage != Stage::Own)
+    if (crash.stage != Stage::Confirmed)
         return false;
-    const auto ended = std::count_if(crashes.begin(), crashes.end(),
-                                     [&](const auto &each) { return counts(each.second, now); });
-    return ended > 1
-           || (now - crash.at >= m_settings.tellAfter && m_shared < m_settings.mostShared);
+    const auto confirmedCount =
+        std::count_if(crashes.begin(), crashes.end(),
+                      [&](const auto &each) { return isCounted(each.second, now); });
+    return confirmedCount > 1
+           || (now - crash.at >= m_settings.publishDelay && m_sharedCount < m_settings.maxShared);
 }
 
-CrashNews Quarantine::news(Time now)
+CrashUpdate Quarantine::takeUpdate(Time now)
 {
-    CrashNews news;
-    news.removed.swap(m_retracted);
+    CrashUpdate update;
+    update.removed.swap(m_retracted);
     for (auto &[digest, crashes] : m_requests)
         for (auto &[endpoint, crash] : crashes)
-            if (news.added.size() < m_settings.mostNews && worthTelling(crashes, crash, now)) {
-                crash.stage = Stage::Told;
-                news.added.push_back({digest, endpoint, crash.at});
+            if (update.added.size() < m_settings.maxPerUpdate
+                && shouldPublish(crashes, crash, now)) {
+                crash.stage = Stage::Published;
+                update.added.push_back({digest, endpoint, crash.at});
             }
-    forgetExpired(now, news);
-    return news;
+    removeExpired(now, update);
+    return update;
 }
 
-/// What others were told and no longer counts is taken back by whoever has to write
-/// anyway: while no endpoint ends, nothing is written.
-void Quarantine::forgetExpired(Time now, CrashNews &news)
+/// Removes expired records. Published ones are only retracted along with another change, so
+/// that nothing is written to the store while no endpoint crashes.
+void Quarantine::removeExpired(Time now, CrashUpdate &update)
 {
     std::vector<CrashRecord> expired;
     for (const auto &[digest, crashes] : m_requests)
         for (const auto &[endpoint, crash] : crashes) {
-            if (now - crash.at < m_settings.keptFor)
+            if (now - crash.at < m_settings.retention)
                 continue;
-            if (crash.stage == Stage::Doubtful || crash.stage == Stage::Own || !news.empty())
+            if (crash.stage == Stage::Unconfirmed || crash.stage == Stage::Confirmed
+                || !update.empty())
                 expired.push_back({digest, endpoint, crash.at});
         }
     for (const CrashRecord &each : expired) {
         const Stage stage = m_requests[each.digest][each.endpoint].stage;
-        if (stage == Stage::Told || stage == Stage::Shared)
-            news.removed.push_back(each);
-        forget(each.digest, each.endpoint);
+        if (stage == Stage::Published || stage == Stage::Shared)
+            update.removed.push_back(each);
+        remove(each.digest, each.endpoint);
     }
 }
 
@@ -245,130 +255,140 @@
         return 0;
     return static_cast<std::size_t>(
         std::count_if(it->second.begin(), it->second.end(),
-                      [&](const auto &each) { return counts(each.second, now); }));
+                      [&](const auto &each) { return isCounted(each.second, now); }));
 }
 
-bool Quarantine::undecided(const std::string &digest, Time now) const
+bool Quarantine::awaitsConfirmation(const std::string &digest, Time now) const
 {
     const auto it = m_requests.find(digest);
     if (it == m_requests.end())
         return false;
-    const auto open = std::count_if(it->second.begin(), it->second.end(), [&](const auto &each) {
-        const Crash &crash = each.second;
-        const bool silent = crash.sign == Sign::Stalled && now - crash.at >= m_settings.askedWithin;
-        return crash.stage == Stage::Doubtful && crash.sign != Sign::GivenUp && !silent;
-    });
-    return open > 0 && static_cast<std::size_t>(open) + crashes(digest, now) > 1;
-}
-
-/// Whether another request was there too that may just as well be the guilty one. By
-/// more ends than that nobody is found guilty: one of them may have been by chance.
+    const auto unconfirmed =
+        std::count_if(it->second.begin(), it->second.end(), [&](const auto &each) {
+            const Crash &crash = each.second;
+            const bool timedOut = crash.interruption == Interruption::Stalled
+                                  && now - crash.at >= m_settings.stallQueryWindow;
+            return crash.stage == Stage::Unconfirmed
+                   && crash.interruption != Interruption::Abandoned && !timedOut;
+        });
+    return unconfirmed > 0 && static_cast<std::size_t>(unconfirmed) + crashes(digest, now) > 1;
+}
+
+/// Whether another request was on the crashed endpoint and has enough crashes to be the cause.
+/// The numbers of crashes are not compared, since some of the crashes may be coincidences.
 bool Quarantine::explainedByOther(const std::string &digest, const std::string &endpoint,
                                   Time now) const
 {
-    const auto on = m_onEndpoint.find(endpoint);
-    return on != m_onEndpoint.end()
-           && std::any_of(on->second.begin(), on->second.end(), [&](const std::string &other) {
-                  return other != digest && counts(m_requests.at(other).at(endpoint), now)
-                         && crashes(other, now) >= m_settings.crashesToHold;
-              });
+    const auto digests = m_digestsByEndpoint.find(endpoint);
+    return digests != m_digestsByEndpoint.end()
+           && std::any_of(
+               digests->second.begin(), digests->second.end(), [&](const std::string &other) {
+                   return other != digest && isCounted(m_requests.at(other).at(endpoint), now)
+                          && crashes(other, now) >= m_settings.crashesToQuarantine;
+               });
 }
 
-/// A request that many callers send is on several endpoints when these end at once.
-bool Quarantine::cameThroughBefore(const std::string &digest, const Crashes &under) const
+/// Whether the request succeeded after one of the crashes or at most successWindow before it.
+/// A request that many callers send is on several endpoints when these crash together for
+/// another reason.
+bool Quarantine::succeededBefore(const std::string &digest, const Crashes &records) const
 {
-    const auto good = m_good.find(digest);
-    return good != m_good.end() && std::any_of(under.begin(), under.end(), [&](const auto &each) {
-               return each.second.at - good->second < m_settings.recently;
-           });
+    const auto success = m_successes.find(digest);
+    return success != m_successes.end()
+           && std::any_of(records.begin(), records.end(), [&](const auto &each) {
+                  return each.second.at - success->second < m_settings.successWindow;
+              });
 }
 
-bool Quarantine::guilty(const std::string &digest, const Crashes &under, Time now) const
+bool Quarantine::isConfirmedCause(const std::string &digest, const Crashes &records, Time now) const
 {
     const std::size_t count = crashes(digest, now);
-    if (count >= m_settings.crashesToHoldForSure)
+    if (count >= m_settings.crashesToForceQuarantine)
         return true;
-    if (cameThroughBefore(digest, under))
+    if (succeededBefore(digest, records))
         return false;
-    const auto unexplained = std::count_if(under.begin(), under.end(), [&](const auto &each) {
-        return counts(each.second, now) && !explainedByOther(digest, each.first, now);
+    const auto unexplained = std::count_if(records.begin(), records.end(), [&](const auto &each) {
+        return isCounted(each.second, now) && !explainedByOther(digest, each.first, now);
     });
-    return static_cast<std::size_t>(unexplained) >= m_settings.crashesToHold;
+    return static_cast<std::size_t>(unexplained) >= m_settings.crashesToQuarantine;
 }
 
-Time Quarantine::lastEnd(const std::string &digest) const
+Time Quarantine::lastCrash(const std::string &digest) const
 {
     Time last {};
     for (const auto &[endpoint, crash] : m_requests.at(digest))
-        if (crash.stage != Stage::Doubtful)
+        if (crash.stage != Stage::Unconfirmed)
             last = std::max(last, crash.at);
     return last;
 }
 
-/// Judged by what one instance saw alone, a request that stood beside looks like the
-/// one that another instance sent.
-Duration Quarantine::unsettledFor(const std::string &digest, Time now) const
+/// Time until the records of all instances have been received. From the records of one
+/// instance alone, a harmless request looks like the cause if another instance sent the
+/// request that caused the crashes.
+Duration Quarantine::deferredFor(const std::string &digest, Time now) const
 {
-    if (crashes(digest, now) < m_settings.crashesToHold)
+    if (crashes(digest, now) < m_settings.crashesToQuarantine)
         return {};
-    return std::max(Duration {}, lastEnd(digest) + m_settings.settleAfter - now);
+    return std::max(Duration {}, lastCrash(digest) + m_settings.propagationDelay - now);
 }
 
-/// Whether other instances saw an endpoint end under the request: then copies of it come
-/// to several, and each would take one more endpoint.
-bool Quarantine::seenByOthers(const Crashes &under, Time now) const
+/// Whether other instances recorded a crash with the request. If so, several instances receive
+/// copies of it, and each could crash one more endpoint.
+bool Quarantine::observedElsewhere(const Crashes &records, Time now) const
 {
-    return std::any_of(under.begin(), under.end(), [&](const auto &each) {
-        return counts(each.second, now) && !each.second.own;
+    return std::any_of(records.begin(), records.end(), [&](const auto &each) {
+        return isCounted(each.second, now) && !each.second.observedHere;
     });
 }
 
-Verdict Quarantine::verdict(const std::string &digest, Time now) const
+SendPermission Quarantine::sendPermission(const std::string &digest, Time now) const
 {
     const std::size_t count = crashes(digest, now);
     if (count == 0)
-        return Verdict::Free;
-    if (unsettledFor(digest, now) > Duration {})
-        return Verdict::Unsettled;
-    const Crashes &under = m_requests.at(digest);
-    if (count >= m_settings.crashesToHold && guilty(digest, under, now))
-        return Verdict::Held;
-    const bool suspect = count >= m_settings.crashesToTry
-                         || (seenByOthers(under, now) && !cameThroughBefore(digest, under));
-    return suspect ? Verdict::ByTrial : Verdict::Free;
-}
-
-Duration Quarantine::heldFor(const std::string &digest, Time now) const
-{
-    switch (verdict(digest, now)) {
-    case Verdict::Free:
-    case Verdict::ByTrial:
+        return SendPermission::Allowed;
+    if (deferredFor(digest, now) > Duration {})
+        return SendPermission::Deferred;
+    const Crashes &records = m_requests.at(digest);
+    if (count >= m_settings.crashesToQuarantine && isConfirmedCause(digest, records, now))
+        return SendPermission::Quarantined;
+    const bool suspected =
+        count >= m_settings.crashesToRequireTrial
+        || (observedElsewhere(records, now) && !succeededBefore(digest, records));
+    return suspected ? SendPermission::TrialOnly : SendPermission::Allowed;
+}
+
+Duration Quarantine::blockedFor(const std::string &digest, Time now) const
+{
+    switch (sendPermission(digest, now)) {
+    case SendPermission::Allowed:
+    case SendPermission::TrialOnly:
         return {};
-    case Verdict::Unsettled:
-        return unsettledFor(digest, now);
-    case Verdict::Held:
+    case SendPermission::Deferred:
+        return deferredFor(digest, now);
+    case SendPermission::Quarantined:
         break;
     }
-    return lastEnd(digest) + m_settings.keptFor - now;
+    return lastCrash(digest) + m_settings.retention - now;
 }
 
-std::vector<std::string> Quarantine::doubtful(Time now) const
+std::vector<std::string> Quarantine::unconfirmedEndpoints(Time now) const
 {
     std::vector<std::string> endpoints;
-    for (const auto &each : m_onEndpoint)
+    for (const auto &each : m_digestsByEndpoint)
         if (std::any_of(each.second.begin(), each.second.end(), [&](const std::string &digest) {
                 const Crash &crash = m_requests.at(digest).find(each.first)->second;
-                return crash.stage == Stage::Doubtful && now >= crash.settledFrom;
+                return crash.stage == Stage::Unconfirmed && now >= crash.clearedIfAliveAt;
             }))
             endpoints.push_back(each.first);
     return endpoints;
 }
 
-std::size_t Quarantine::heldCount(Time now) const
+std::size_t Quarantine::quarantinedCount(Time now) const
 {
     return static_cast<std::size_t>(
-        std::count_if(m_requests.begin(), m_requests.end(),
-                      [&](const auto &each) { return verdict(each.first, now) == Verdict::Held; }));
+        std::count_if(m_requests.begin(), m_requests.end(), [&](const auto &each) {
+            return sendPermission(each.first, now) == SendPermission::Quarantined;
+        }));
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/readfreshness.cpp
+++ b/src/libbalsamloft/readfreshness.cpp
@@ -4,16 +4,16 @@
 
 namespace balsamloft {
 
-void ReadFreshness::answered(Time sentAt, Time arrivedAt, std::int64_t storeMs)
+void ReadFreshness::recordAnswer(Time sentAt, Time arrivedAt, std::int64_t storeMs)
 {
     const Time storeTime {Duration(storeMs * 1000)};
     if (storeMs < m_lastStoreMs)
-        clockLost();
+        resetClock();
     m_lastStoreMs = storeMs;
     const Duration offset = sentAt - storeTime;
     m_offset = m_offset ? std::max(*m_offset, offset) : offset;
-    const Time madeAt = std::clamp(storeTime + *m_offset, sentAt, std::max(sentAt, arrivedAt));
-    m_knownAt = m_knownAt ? std::max(*m_knownAt, madeAt) : madeAt;
+    const Time createdAt = std::clamp(storeTime + *m_offset, sentAt, std::max(sentAt, arrivedAt));
+    m_knownAt = m_knownAt ? std::max(*m_knownAt, createdAt) : createdAt;
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-/// Statuses with which an endpoint refuses before it runs anything.
+/// With this status, an endpoint rejects a request before it executes anything.
 constexpr int Misdirected = 421;
 constexpr int FirstServerError = 500;
 
-/// A refusal that took this long was no lack of room: the engine at fault is dead.
-constexpr Duration StallRefusal {1'000'000};
+/// A rejection that takes this long is not due to a lack of memory: the faulty engine is dead.
+constexpr Duration StalledRejection {1'000'000};
 
-/// Share of the slack that an earlier process of this instance may just have spent.
-constexpr double SpentBefore = 0.8;
+/// Share of the slack that a previous process of this instance may just have used.
+constexpr double PreviousSlackUse = 0.8;
 
-/// Instances that share the slack, until their number is known.
-constexpr std::size_t UnknownInstances = 8;
+/// Instances assumed to share the slack until their number is known.
+constexpr std::size_t AssumedInstances = 8;
 
 } // namespace
 
@@ -33,36 +33,36 @@
     return flight.request.table->services()[flight.request.service];
 }
 
-RepeatWindow &Relay::budget(const Flight &flight)
+RetryWindow &Relay::budget(const Flight &flight)
 {
     const std::string &name = service(flight).name;
     const auto it = m_budgets.find(name);
     if (it != m_budgets.end())
         return it->second;
-    RepeatWindowSettings settings;
+    RetryWindowSettings settings;
     settings.window = m_settings.retryWindow;
     settings.perRequest = m_settings.retryRatio;
     settings.slack = slackShare();
-    settings.spentBefore = settings.slack * SpentBefore;
+    settings.spentBefore = settings.slack * PreviousSlackUse;
     return m_budgets.try_emplace(name, settings).first->second;
 }
 
-/// Those who left had their share in the same window: were it given out again at
-/// once, a rolling restart would let all together spend it twice. So the slack
-/// is divided by the most instances that were known in the last window.
+/// Divides the slack by the maximum number of instances in the last window. An instance that
+/// left may have used its share in that window. If the others received it at once, a rolling
+/// restart would let the fleet spend the slack twice.
 double Relay::slackShare() const
 {
-    std::size_t most = m_instanceCounts.empty() ? UnknownInstances : 1;
+    std::size_t maxCount = m_instanceCounts.empty() ? AssumedInstances : 1;
     for (const auto &[at, count] : m_instanceCounts)
-        most = std::max(most, count);
-    return m_settings.retrySlack / static_cast<double>(most);
+        maxCount = std::max(maxCount, count);
+    return m_settings.retrySlack / static_cast<double>(maxCount);
 }
 
 void Relay::setInstances(std::size_t inDomain, std::size_t all, Time now)
 {
-    m_book.setSharers(static_cast<double>(inDomain));
-    m_book.setInstances(static_cast<double>(all));
-    // The last count before the window still held in its beginning.
+    m_engines.setSharingInstances(static_cast<double>(inDomain));
+    m_engines.setInstances(static_cast<double>(all));
+    // Keeps one count from before the window: it was valid at the beginning of the window.
     while (m_instanceCounts.size() > 1
            && now - m_instanceCounts[1].first > m_settings.retryWindow * 6 / 5)
         m_instanceCounts.pop_front();
@@ -71,10 +71,10 @@
         budget.setSlack(slackShare());
 }
 
-void Relay::shareLimits(std::span<const PeerInstance> all, const std::string &self, Duration clock,
-                        Time now)
+void Relay::shareLimits(std::span<const PeerInstance> all, const std::string &self,
+                        Duration clockOffset, Time now)
 {
-    m_limits.setClock(clock);
+    m_limits.setClockOffset(clockOffset);
     m_limits.setInstances(all, self, m_settings.domain, now);
 }
 
@@ -120,25 +120,25 @@
     return id;
 }
 
-double Relay::ownNeed(const Flight &flight, const PathPart &part) const
+double Relay::tokenLayers(const Flight &flight, const PathPart &part) const
 {
     return static_cast<double>(flight.request.promptTokens + flight.request.answerTokens)
            * part.layers.length();
 }
 
-/// Endpoints of the flight's service to which nothing may be sent now for their rate limits.
-std::set<std::string> Relay::beyondLimit(const Flight &flight, Time now)
+/// Endpoints of the flight's service that are at their rate limits now.
+std::set<std::string> Relay::rateLimitedEndpoints(const Flight &flight, Time now)
 {
-    std::set<std::string> closed = m_limits.closed(now);
-    std::erase_if(closed, [&](const std::string &id) {
+    std::set<std::string> rateLimited = m_limits.blockedEndpoints(now);
+    std::erase_if(rateLimited, [&](const std::string &id) {
         const FleetEndpoint *endpoint = m_fleet->find(id);
         return !endpoint || endpoint->service != service(flight).name;
     });
-    m_counts.passedOver += closed.empty() ? 0 : 1;
-    return closed;
+    m_counts.rateLimitSkips += rateLimited.empty() ? 0 : 1;
+    return rateLimited;
 }
 
-/// A path, without the engines \a without if there is one.
+/// Finds a path that avoids the engines \a without if possible.
 std::optional<EnginePath> Relay::findPath(const Flight &flight,
                                           const std::set<std::string> &without, Time now)
 {
@@ -146,90 +146,90 @@
     query.domain = m_settings.domain;
     query.promptTokens = flight.request.promptTokens;
     query.answerTokens = flight.request.answerTokens;
-    query.without = &without;
-    query.first = flight.trial.state == Trial::State::Granted && flight.trial.first
-                      ? &*flight.trial.first
-                      : nullptr;
-    query.leastSpread = flight.cutEarly ? m_settings.scatter : 0;
-    const std::set<std::string> closed = beyondLimit(flight, now);
-    query.notFirst = &closed;
-    auto path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
+    query.excluded = &without;
+    query.firstPart = flight.trial.state == Trial::State::Granted && flight.trial.first
+                          ? &*flight.trial.first
+                          : nullptr;
+    query.minCostNoise = flight.failedEarly ? m_settings.rerouteSpread : 0;
+    const std::set<std::string> rateLimited = rateLimitedEndpoints(flight, now);
+    query.excludedAsFirst = &rateLimited;
+    auto path = m_chooser.choose(*m_fleet, service(flight), m_engines, query, now, m_random);
     if (!path && !without.empty()) {
-        // Rather an engine that failed it once than none at all.
-        query.without = nullptr;
-        path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
+        // An engine where the request failed once is better than none.
+        query.excluded = nullptr;
+        path = m_chooser.choose(*m_fleet, service(flight), m_engines, query, now, m_random);
     }
     return path;
 }
 
-bool Relay::choosePath(Flight &flight, Time now, SendWhole &send)
+bool Relay::choosePath(Flight &flight, Time now, SendRequest &send)
 {
-    auto path = findPath(flight, notToUse(flight), now);
+    auto path = findPath(flight, excludedEndpoints(flight), now);
     if (!path) {
         flight.lastReason = "no path over all layers";
         return false;
     }
     if (path->full) {
-        flight.lastReason = "no room on any path";
+        flight.lastReason = "no free memory on any path";
         return false;
     }
     send.endpoint = path->parts.front().endpoint;
     send.name = m_fleet->find(send.endpoint)->name;
     send.address = path->parts.front().address;
     send.path = std::move(path->parts);
-    expect(flight, *path);
+    setExpectedTimes(flight, *path);
     return true;
 }
 
-void Relay::expect(Flight &flight, const EnginePath &path)
+void Relay::setExpectedTimes(Flight &flight, const EnginePath &path)
 {
     flight.domain = path.domain;
-    flight.expectedGap = Duration(static_cast<std::int64_t>(path.gapMs * 1000));
-    flight.expectedFirst = Duration(static_cast<std::int64_t>(path.firstMs * 1000));
+    flight.expectedEventInterval = Duration(static_cast<std::int64_t>(path.eventIntervalMs * 1000));
+    flight.expectedFirstEvent = Duration(static_cast<std::int64_t>(path.firstEventMs * 1000));
 }
 
 double Relay::endpointCost(const FleetEndpoint &endpoint, const std::set<std::string> &avoid,
                            Time now)
 {
-    const EngineBelief *belief = m_book.find(endpoint.id);
+    const EngineEstimate *estimate = m_engines.find(endpoint.id);
     std::uniform_real_distribution<double> noise(0, 0.1);
-    double cost = noise(m_random) + 4 * m_book.failureShare(endpoint.id, now);
-    if (belief)
-        cost += static_cast<double>(belief->streams) / std::max(1U, endpoint.slots)
-                * m_book.scale(endpoint.domain);
+    double cost = noise(m_random) + 4 * m_engines.failureShare(endpoint.id, now);
+    if (estimate)
+        cost += static_cast<double>(estimate->ownRequests) / std::max(1U, endpoint.slots)
+                * m_engines.workRatio(endpoint.domain);
     if (endpoint.domain != m_settings.domain)
         cost += 0.4;
-    if (!m_book.usable(endpoint.id, now))
+    if (!m_engines.usable(endpoint.id, now))
         cost += 10;
     if (avoid.contains(endpoint.id))
         cost += 20;
     return cost;
 }
 
-/// Endpoints that failed the flight, or where something else is tried.
-std::set<std::string> Relay::notToUse(const Flight &flight)
+/// Endpoints where the flight failed, and those with a trial of another request.
+std::set<std::string> Relay::excludedEndpoints(const Flight &flight)
 {
     std::set<std::string> all = flight.avoid;
-    all.insert(flight.trial.taken.begin(), flight.trial.taken.end());
+    all.insert(flight.trial.busyEndpoints.begin(), flight.trial.busyEndpoints.end());
     return all;
 }
 
-bool Relay::choose(Flight &flight, Time now, SendWhole &send)
+bool Relay::choose(Flight &flight, Time now, SendRequest &send)
 {
     return service(flight).model ? choosePath(flight, now, send)
                                  : chooseEndpoint(flight, now, send);
 }
 
-bool Relay::chooseEndpoint(Flight &flight, Time now, SendWhole &send)
+bool Relay::chooseEndpoint(Flight &flight, Time now, SendRequest &send)
 {
     const FleetEndpoint *best = nullptr;
     double bestCost = 0;
-    const std::set<std::string> avoid = notToUse(flight);
-    const std::set<std::string> closed = beyondLimit(flight, now);
-    const bool bound = flight.trial.state == Trial::State::Granted;
+    const std::set<std::string> avoid = excludedEndpoints(flight);
+    const std::set<std::string> rateLimited = rateLimitedEndpoints(flight, now);
+    const bool boundToTrial = flight.trial.state == Trial::State::Granted;
     for (const FleetEndpoint &each : m_fleet->endpoints) {
         if (each.service != service(flight).name || each.draining
-            || (bound && each.id != flight.trial.endpoint) || closed.contains(each.id))
+            || (boundToTrial && each.id != flight.trial.endpoint) || rateLimited.contains(each.id))
             continue;
         const double cost = endpointCost(each, avoid, now);
         if (!best || cost < bestCost) {
@@ -238,9 +238,9 @@
         }
     }
     if (!best || avoid.contains(best->id)) {
-        flight.lastReason = best             ? "all endpoints failed it"
-                            : closed.empty() ? "no endpoint"
-                                             : "no endpoint within its rate limit";
+        flight.lastReason = best                  ? "the request failed at all endpoints"
+                            : rateLimited.empty() ? "no endpoint available"
+                                                  : "all endpoints are at their rate limits";
         return false;
     }
     send.endpoint = best->id;
@@ -250,60 +250,62 @@
     return true;
 }
 
-void Relay::sent(Flight &flight, const SendWhole &send, Time now)
+void Relay::recordSent(Flight &flight, const SendRequest &send, Time now)
 {
-    m_limits.sent(send.endpoint, now);
+    m_limits.recordSend(send.endpoint, now);
     flight.state = State::Sent;
     flight.sends += 1;
     flight.endpoint = send.endpoint;
     flight.path = send.path;
     flight.sentAt = now;
     flight.progressAt = now;
-    flight.pathAskedAt.reset();
+    flight.pathChangeSentAt.reset();
     flight.pathChanges = 0;
     flight.firstEventAt.reset();
-    occupy(flight);
-    crossDomains(flight, now);
+    addLoad(flight);
+    recordTransfers(flight, now);
 }
 
-/// What the request's prompt and answer take of the pipes between domains.
-void Relay::crossDomains(const Flight &flight, Time now)
+/// Records the use of the links between domains by the request's prompt and answer.
+void Relay::recordTransfers(const Flight &flight, Time now)
 {
     const auto &model = service(flight).model;
     if (!model)
         return;
-    const double pipeMs =
-        model->crossingMs(flight.request.promptTokens + flight.request.answerTokens);
+    const double linkMs =
+        model->transferMs(flight.request.promptTokens + flight.request.answerTokens);
     const FleetEndpoint *from = nullptr;
     for (const PathPart &part : flight.path) {
         const FleetEndpoint *to = m_fleet->find(part.endpoint);
         if (from && to && from->domain != to->domain)
-            m_book.crossed(from->domain, to->domain, pipeMs, now);
+            m_engines.recordTransfer(from->domain, to->domain, linkMs, now);
         from = to;
     }
 }
 
-void Relay::occupy(const Flight &flight)
+void Relay::addLoad(const Flight &flight)
 {
     if (flight.path.empty())
-        m_book.started(flight.endpoint, 0, true);
+        m_engines.requestStarted(flight.endpoint, 0, true);
     for (const PathPart &part : flight.path)
-        m_book.started(part.endpoint, ownNeed(flight, part), part.endpoint == flight.endpoint);
+        m_engines.requestStarted(part.endpoint, tokenLayers(flight, part),
+                                 part.endpoint == flight.endpoint);
 }
 
-void Relay::vacate(const Flight &flight)
+void Relay::removeLoad(const Flight &flight)
 {
     if (flight.path.empty())
-        m_book.ended(flight.endpoint, 0, true);
+        m_engines.requestFinished(flight.endpoint, 0, true);
     for (const PathPart &part : flight.path)
-        m_book.ended(part.endpoint, ownNeed(flight, part), part.endpoint == flight.endpoint);
+        m_engines.requestFinished(part.endpoint, tokenLayers(flight, part),
+                                  part.endpoint == flight.endpoint);
 }
 
-void Relay::release(Flight &flight)
+void Relay::endAttempt(Flight &flight)
 {
     if (flight.state == State::Waiting)
         return;
-    vacate(flight);
+    removeLoad(flight);
     flight.path.clear();
     flight.state = State::Waiting;
 }
@@ -311,97 +313,98 @@
 void Relay::dispatch(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (now >= flight.deadline)
-        return end(id, endOf(flight, FlightEnd::TimedOut), "no time left", actions);
-    if (holdBack(id, flight, now, actions))
+        return finish(id, outcomeOf(flight, FlightOutcome::TimedOut), "deadline exceeded", actions);
+    if (blockIfSuspected(id, flight, now, actions))
         return;
-    // Asked at each tick while it waits: no path is looked for that cannot be paid.
-    if (flight.repeatOwed && !budget(flight).affords(now))
+    // This runs at each tick while the flight waits: avoid the path search without a retry.
+    if (flight.nextSendIsRetry && !budget(flight).canWithdraw(now))
         return;
-    SendWhole send;
+    SendRequest send;
     if (!choose(flight, now, send))
-        return endTrial(flight, TrialEnd::NotSent, actions);
-    if (flight.repeatOwed && !payRepeat(flight, now))
+        return finishTrial(flight, TrialOutcome::NotSent, actions);
+    if (flight.nextSendIsRetry && !withdrawRetry(flight, now))
         return;
-    flight.repeatOwed = false;
+    flight.nextSendIsRetry = false;
     send.flight = id;
     send.attempt = ++flight.attempt;
     send.timeLeft = flight.deadline - now;
     send.afterEvent = flight.lastEvent;
     send.freshConnection = !flight.request.route->idempotent();
     send.reason = flight.sends == 0 ? "first attempt" : flight.lastReason;
-    sent(flight, send, now);
+    recordSent(flight, send, now);
     if (flight.trial.state == Trial::State::Granted)
         flight.trial.state = Trial::State::Sent;
     actions.push_back(std::move(send));
 }
 
-/// \a alsoAt: an endpoint that counts as one where it ran.
+/// Whether the route's limit of attempts allows another one. \a alsoAt is counted like the
+/// endpoints where the request may have run.
 bool Relay::mayRunAgain(const Flight &flight, std::string_view alsoAt) const
 {
     if (!flight.request.route->idempotent())
         return false;
-    // Endpoints that are gone do not count: what they ran is lost in any case.
-    const auto alive = [&](std::string_view each) { return m_fleet->find(each) != nullptr; };
-    auto ran =
-        static_cast<std::uint32_t>(std::count_if(flight.ranAt.begin(), flight.ranAt.end(), alive));
-    const bool counted =
-        std::find(flight.ranAt.begin(), flight.ranAt.end(), alsoAt) != flight.ranAt.end();
-    if (!alsoAt.empty() && !counted && alive(alsoAt))
-        ran += 1;
-    return ran < flight.request.route->maxAttempts;
+    // Delisted endpoints do not count: the results of their attempts are lost.
+    const auto isListed = [&](std::string_view each) { return m_fleet->find(each) != nullptr; };
+    auto endpointCount = static_cast<std::uint32_t>(
+        std::count_if(flight.mayHaveRunAt.begin(), flight.mayHaveRunAt.end(), isListed));
+    const bool counted = std::find(flight.mayHaveRunAt.begin(), flight.mayHaveRunAt.end(), alsoAt)
+                         != flight.mayHaveRunAt.end();
+    if (!alsoAt.empty() && !counted && isListed(alsoAt))
+        endpointCount += 1;
+    return endpointCount < flight.request.route->maxAttempts;
 }
 
-FlightEnd Relay::endOf(const Flight &flight, FlightEnd ran)
+FlightOutcome Relay::outcomeOf(const Flight &flight, FlightOutcome ifMayHaveRun)
 {
-    if (flight.passing)
-        return FlightEnd::CutShort;
-    return flight.ranAt.empty() ? FlightEnd::NotRun : ran;
+    if (flight.eventsForwarded)
+        return FlightOutcome::Truncated;
+    return flight.mayHaveRunAt.empty() ? FlightOutcome::NotExecuted : ifMayHaveRun;
 }
 
-/// A stream that has begun is bounded by the repeats and its caller's patience alone:
-/// engines that reject it did not run it, and nothing else is left to its caller.
-bool Relay::sentOftenEnough(const Flight &flight) const
+/// The sends of a started stream are limited only by the retry budget and by how long the caller
+/// waits: engines that reject the stream did not execute it, and its caller cannot resume it.
+bool Relay::sendLimitReached(const Flight &flight) const
 {
-    return !flight.passing
-           && flight.sends >= flight.request.route->maxAttempts + m_settings.sparesSends;
+    return !flight.eventsForwarded
+           && flight.sends >= flight.request.route->maxAttempts + m_settings.extraSends;
 }
 
-/// Engines without room reject one new request after another, and these would spend
-/// all repeats before a stream needs one. A new request that is refused can come
-/// back; a stream that has begun is lost. So new ones leave some for those.
-bool Relay::payRepeat(const Flight &flight, Time now)
+/// New requests leave a reserve of retries to started streams. Engines without free memory
+/// reject many new requests, which would use up the retries. The caller of a new request can
+/// retry it, while a started stream is lost without a retry.
+bool Relay::withdrawRetry(const Flight &flight, Time now)
 {
-    const bool begun = flight.passing || !flight.ranAt.empty();
-    const bool yields = service(flight).model && !begun;
-    return budget(flight).withdraw(now, yields ? m_settings.keptForBegun : 0);
+    const bool hasStarted = flight.eventsForwarded || !flight.mayHaveRunAt.empty();
+    const bool leavesReserve = service(flight).model && !hasStarted;
+    return budget(flight).withdraw(now, leavesReserve ? m_settings.streamReserve : 0);
 }
 
-void Relay::again(FlightId id, Flight &flight, bool ran, const std::string &culprit,
+void Relay::retry(FlightId id, Flight &flight, bool mayHaveRun, const std::string &faultyEndpoint,
                   std::string reason, Time now, RelayActions &actions)
 {
-    flight.avoid.insert(culprit);
-    if (ran
-        && std::find(flight.ranAt.begin(), flight.ranAt.end(), flight.endpoint)
-               == flight.ranAt.end())
-        flight.ranAt.push_back(flight.endpoint);
-    release(flight);
+    flight.avoid.insert(faultyEndpoint);
+    if (mayHaveRun
+        && std::find(flight.mayHaveRunAt.begin(), flight.mayHaveRunAt.end(), flight.endpoint)
+               == flight.mayHaveRunAt.end())
+        flight.mayHaveRunAt.push_back(flight.endpoint);
+    endAttempt(flight);
     flight.waitingSince = now;
     flight.lastReason = reason;
-    const FlightEnd how = endOf(flight, FlightEnd::Failed);
-    if (!flight.ranAt.empty() && !mayRunAgain(flight))
-        return end(id, how, std::move(reason), actions);
-    if (sentOftenEnough(flight))
-        return end(id, how, reason + "; sent often enough", actions);
-    if (holdBack(id, flight, now, actions))
+    const FlightOutcome outcome = outcomeOf(flight, FlightOutcome::Failed);
+    if (!flight.mayHaveRunAt.empty() && !mayRunAgain(flight))
+        return finish(id, outcome, std::move(reason), actions);
+    if (sendLimitReached(flight))
+        return finish(id, outcome, reason + "; send limit reached", actions);
+    if (blockIfSuspected(id, flight, now, actions))
         return;
-    if (!payRepeat(flight, now)) {
-        m_counts.budgetSpent += 1;
-        reason += "; no budget to send it again";
-        if (!flight.passing)
-            return end(id, how, std::move(reason), actions);
-        // Its caller waits a while for the next event anyway, and repeats come back
-        // as the window moves on; broken off now, the answer would be lost for sure.
-        flight.repeatOwed = true;
+    if (!withdrawRetry(flight, now)) {
+        m_counts.budgetExhausted += 1;
+        reason += "; retry budget exhausted";
+        if (!flight.eventsForwarded)
+            return finish(id, outcome, std::move(reason), actions);
+        // The caller waits some time for the next event, and the window may free a retry
+        // meanwhile. Truncating the answer now would lose it for certain.
+        flight.nextSendIsRetry = true;
         flight.lastReason = std::move(reason);
         return;
     }
@@ -409,25 +412,26 @@
     dispatch(id, flight, now, actions);
 }
 
-void Relay::end(FlightId id, FlightEnd how, std::string reason, RelayActions &actions,
-                std::optional<Duration> comeBack)
+void Relay::finish(FlightId id, FlightOutcome outcome, std::string reason, RelayActions &actions,
+                   std::optional<Duration> retryAfter)
 {
     const auto it = m_flights.find(id);
     if (it == m_flights.end())
         return;
-    release(it->second);
-    Duration wait {};
-    if (how == FlightEnd::NotRun) {
-        // Spread, so that those refused together do not come back together.
+    endAttempt(it->second);
+    Duration delay {};
+    if (outcome == FlightOutcome::NotExecuted) {
+        // Jitter: callers that are refused together do not retry together.
         std::uniform_real_distribution<double> spread(0.6, 1.4);
-        wait = comeBack.value_or(
-            Duration(static_cast<std::int64_t>(m_settings.comeBack.count() * spread(m_random))));
+        delay = retryAfter.value_or(
+            Duration(static_cast<std::int64_t>(m_settings.retryAfter.count() * spread(m_random))));
     }
-    std::uint64_t RelayCounts::*const counters[] = {&RelayCounts::notRun, &RelayCounts::failed,
-                                                    &RelayCounts::timedOut, &RelayCounts::cutShort};
-    m_counts.*counters[static_cast<std::size_t>(how)] += 1;
+    std::uint64_t RelayCounts::*const counters[] = {&RelayCounts::notExecuted, &RelayCounts::failed,
+                                                    &RelayCounts::timedOut,
+                                                    &RelayCounts::truncated};
+    m_counts.*counters[static_cast<std::size_t>(outcome)] += 1;
     m_flights.erase(it);
-    actions.push_back(EndFlight {id, how, wait, std::move(reason)});
+    actions.push_back(FinishFlight {id, outcome, delay, std::move(reason)});
 }
 
 void Relay::attemptFailed(FlightId id, std::uint32_t attempt, AttemptFailure failure, Time now,
@@ -436,51 +440,53 @@
     Flight *flight = current(id, attempt);
     if (!flight)
         return;
-    m_book.finished(flight->endpoint, true, now);
+    m_engines.recordOutcome(flight->endpoint, true, now);
     if (failure != AttemptFailure::NotSent)
-        noteBrokenOff(*flight, now, actions);
+        recordBroken(*flight, now, actions);
     switch (failure) {
     case AttemptFailure::NotSent:
-        endTrial(*flight, TrialEnd::NotSent, actions);
-        m_book.suspect(flight->endpoint, now);
-        return again(id, *flight, false, flight->endpoint, "not reached: " + flight->endpoint, now,
-                     actions);
+        finishTrial(*flight, TrialOutcome::NotSent, actions);
+        m_engines.suspect(flight->endpoint, now);
+        return retry(id, *flight, false, flight->endpoint,
+                     "request could not be sent to " + flight->endpoint, now, actions);
     case AttemptFailure::Broken:
-        return again(id, *flight, true, flight->endpoint, "broken off by " + flight->endpoint, now,
-                     actions);
-    case AttemptFailure::Garbled:
-        return again(id, *flight, true, flight->endpoint, "bad answer of " + flight->endpoint, now,
-                     actions);
+        return retry(id, *flight, true, flight->endpoint,
+                     "connection broken by " + flight->endpoint, now, actions);
+    case AttemptFailure::InvalidAnswer:
+        return retry(id, *flight, true, flight->endpoint, "invalid answer from " + flight->endpoint,
+                     now, actions);
     }
 }
 
-void Relay::rejected(FlightId id, Flight &flight, const AnswerHead &head, Time now,
-                     RelayActions &actions)
+void Relay::handleRejection(FlightId id, Flight &flight, const AnswerHead &head, Time now,
+                            RelayActions &actions)
 {
-    const FleetEndpoint *atFault = head.atAddress.empty() ? m_fleet->find(flight.endpoint)
-                                                          : m_fleet->atAddress(head.atAddress);
-    const std::string culprit = atFault ? atFault->id : flight.endpoint;
-    const bool dead = now - flight.sentAt >= StallRefusal;
-    if (dead)
-        noteStalled(flight, culprit, now);
-    if (dead || (head.status == Misdirected && flight.path.empty()))
-        m_book.suspect(culprit, now);
+    const FleetEndpoint *faulty = head.faultyAddress.empty()
+                                      ? m_fleet->find(flight.endpoint)
+                                      : m_fleet->findByAddress(head.faultyAddress);
+    const std::string faultyEndpoint = faulty ? faulty->id : flight.endpoint;
+    const bool stalled = now - flight.sentAt >= StalledRejection;
+    if (stalled)
+        recordStalled(flight, faultyEndpoint, now);
+    if (stalled || (head.status == Misdirected && flight.path.empty()))
+        m_engines.suspect(faultyEndpoint, now);
     else
-        m_book.outOfRoom(culprit, now);
-    std::string reason = "refused by " + culprit + " with " + std::to_string(head.status);
+        m_engines.refusedBusy(faultyEndpoint, now);
+    std::string reason =
+        "rejected by " + faultyEndpoint + " with status " + std::to_string(head.status);
     if (flight.trial.state == Trial::State::Sent) {
-        endTrial(flight, TrialEnd::Open, actions);
-        return end(id, endOf(flight, FlightEnd::Failed), std::move(reason), actions);
+        finishTrial(flight, TrialOutcome::Inconclusive, actions);
+        return finish(id, outcomeOf(flight, FlightOutcome::Failed), std::move(reason), actions);
     }
-    again(id, flight, false, culprit, std::move(reason), now, actions);
+    retry(id, flight, false, faultyEndpoint, std::move(reason), now, actions);
 }
 
-void Relay::noteLimit(const Flight &flight, const AnswerHead &head, Time now)
+void Relay::recordRateLimit(const Flight &flight, const AnswerHead &head, Time now)
 {
     const FleetEndpoint *endpoint = m_fleet->find(flight.endpoint);
-    const bool ownWord = head.sealed || head.notExecuted;
-    if (endpoint && (ownWord || head.rateLimit))
-        m_limits.answered(*endpoint, head.rateLimit, now);
+    const bool fromEndpoint = head.provenExecuted || head.notExecuted;
+    if (endpoint && (fromEndpoint || head.rateLimit))
+        m_limits.recordAnswer(*endpoint, head.rateLimit, now);
 }
 
 bool Relay::answered(FlightId id, std::uint32_t attempt, const AnswerHead &head, Time now,
@@ -489,76 +495,78 @@
     Flight *flight = current(id, attempt);
     if (!flight)
         return false;
-    m_book.cleared(flight->endpoint, now);
-    m_quarantine.endpointHeard(flight->endpoint, now);
-    noteLimit(*flight, head, now);
+    m_engines.recordAnswer(flight->endpoint, now);
+    m_quarantine.endpointSentData(flight->endpoint, now);
+    recordRateLimit(*flight, head, now);
     if (head.running && !flight->path.empty())
-        m_book.loadSeen(flight->endpoint, flight->domain, *head.running);
+        m_engines.updateWorkRatio(flight->endpoint, flight->domain, *head.running);
     if (head.notExecuted || head.status == Misdirected) {
-        rejected(id, *flight, head, now, actions);
+        handleRejection(id, *flight, head, now, actions);
         return false;
     }
-    if (!head.sealed) {
-        m_book.finished(flight->endpoint, true, now);
-        again(id, *flight, true, flight->endpoint, "unsealed answer of " + flight->endpoint, now,
-              actions);
+    if (!head.provenExecuted) {
+        m_engines.recordOutcome(flight->endpoint, true, now);
+        retry(id, *flight, true, flight->endpoint,
+              "answer without proof of execution from " + flight->endpoint, now, actions);
         return false;
     }
     const bool failed = head.status >= FirstServerError;
     const bool stream = flight->request.route->kind == RequestKind::Stream;
-    m_book.finished(flight->endpoint, failed, now);
+    m_engines.recordOutcome(flight->endpoint, failed, now);
     if (failed && mayRunAgain(*flight) && flight->request.route->maxAttempts > 1
         && flight->sends < flight->request.route->maxAttempts) {
         actions.push_back(AbandonAttempt {id, attempt});
-        again(id, *flight, true, flight->endpoint, "failure of " + flight->endpoint, now, actions);
+        retry(id, *flight, true, flight->endpoint, "server error from " + flight->endpoint, now,
+              actions);
         return false;
     }
     if (stream && !failed) {
         for (const PathPart &part : flight->path)
-            m_book.hadRoom(part.endpoint);
+            m_engines.resetRefusals(part.endpoint);
         flight->state = State::Streaming;
         return true;
     }
-    // The caller has the head and events of an earlier attempt: a failure after
-    // them can only be shown by breaking off.
-    if (flight->passing) {
-        end(id, FlightEnd::CutShort, "failure of " + flight->endpoint, actions);
+    // The caller has received the head and events of an earlier attempt. Only truncation can
+    // report a failure after them.
+    if (flight->eventsForwarded) {
+        finish(id, FlightOutcome::Truncated, "server error from " + flight->endpoint, actions);
         return false;
     }
-    passAnswer(id, *flight, !failed, now, actions);
+    forwardAnswer(id, *flight, !failed, now, actions);
     return false;
 }
 
-void Relay::passAnswer(FlightId id, Flight &flight, bool ranWell, Time now, RelayActions &actions)
+void Relay::forwardAnswer(FlightId id, Flight &flight, bool succeeded, Time now,
+                          RelayActions &actions)
 {
-    if (ranWell)
-        m_quarantine.cameThrough(flight.request.digest, now);
-    endTrial(flight, ranWell ? TrialEnd::CameThrough : TrialEnd::Open, actions);
-    release(flight);
+    if (succeeded)
+        m_quarantine.requestSucceeded(flight.request.digest, now);
+    finishTrial(flight, succeeded ? TrialOutcome::Succeeded : TrialOutcome::Inconclusive, actions);
+    endAttempt(flight);
     m_flights.erase(id);
     m_counts.passed += 1;
-    actions.push_back(PassAnswer {id});
+    actions.push_back(ForwardAnswer {id});
 }
 
-void Relay::eventsPassed(FlightId id, std::uint32_t attempt, std::optional<std::uint64_t> lastEvent,
-                         Time now, RelayActions &actions)
+void Relay::eventsForwarded(FlightId id, std::uint32_t attempt,
+                            std::optional<std::uint64_t> lastEvent, Time now, RelayActions &actions)
 {
     Flight *flight = current(id, attempt);
     if (!flight)
         return;
-    flight->passing = true;
+    flight->eventsForwarded = true;
     flight->progressAt = now;
-    noteProgress(*flight, now, actions);
+    recordProgress(*flight, now, actions);
     if (lastEvent)
         flight->lastEvent = lastEvent;
 }
 
-void Relay::streamEnded(FlightId id, std::uint32_t attempt, Time now, RelayActions &actions)
+void Relay::streamCompleted(FlightId id, std::uint32_t attempt, Time now, RelayActions &actions)
 {
     Flight *flight = current(id, attempt);
     if (!flight)
         return;
-    passAnswer(id, *flight, true, now, actions);
+    forwardAnswer(id, *flight, true, now, actions);
 }
 
 void Relay::callerGone(FlightId id, Time now, RelayActions &actions)
@@ -569,8 +577,8 @@
     const std::uint32_t attempt = it->second.attempt;
     const bool sent = it->second.state != State::Waiting;
     if (sent)
-        noteGivenUp(it->second, now);
-    release(it->second);
+        recordAbandoned(it->second, now);
+    endAttempt(it->second);
     m_flights.erase(it);
     if (sent)
         actions.push_back(AbandonAttempt {id, attempt});
@@ -587,16 +595,16 @@
     const auto it = m_flights.find(id);
     if (it == m_flights.end() || it->second.attempt != attempt || now >= it->second.deadline)
         return false;
-    const auto stays = [this](const std::string &id) {
+    const auto acceptsWork = [this](const std::string &id) {
         const FleetEndpoint *endpoint = m_fleet->find(id);
         return endpoint && !endpoint->draining;
     };
     const Flight &flight = it->second;
     if (!mayRun(flight, now))
         return false;
-    return stays(flight.endpoint)
+    return acceptsWork(flight.endpoint)
            && std::all_of(flight.path.begin(), flight.path.end(),
-                          [&](const PathPart &part) { return stays(part.endpoint); });
+                          [&](const PathPart &part) { return acceptsWork(part.endpoint); });
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -1,4 +1,4 @@
-// The part of Relay that keeps a request from ending one endpoint after another.
+// The part of Relay that prevents a request from crashing one endpoint after another.
 
 #include <balsamloft/relay.h>
 
@@ -6,137 +6,141 @@
 
 namespace balsamloft {
 
-/// Every endpoint takes what runs on it along when it ends; only a request that had
-/// just begun there, or had not yet, may be the one that ended it.
-void Relay::noteBrokenOff(Flight &flight, Time now, RelayActions &actions)
+/// Records that the endpoint broke the attempt. A crash interrupts all attempts on the endpoint,
+/// but only an attempt that started recently can be the cause.
+void Relay::recordBroken(Flight &flight, Time now, RelayActions &actions)
 {
     const FleetEndpoint *endpoint = m_fleet->find(flight.endpoint);
-    if (flight.runsWell || flight.request.digest.empty() || !endpoint || endpoint->draining)
+    if (flight.provenHarmless || flight.request.digest.empty() || !endpoint || endpoint->draining)
         return;
-    flight.cutEarly = true;
-    m_quarantine.brokenOff(flight.request.digest, flight.endpoint, now);
-    // A question of a moment ago says nothing about the end that came after it.
-    m_askedAt.erase(flight.endpoint);
-    ask(flight.endpoint, now, actions);
+    flight.failedEarly = true;
+    m_quarantine.attemptBroken(flight.request.digest, flight.endpoint, now);
+    // Allows a new query at once, since an earlier one cannot detect this crash.
+    m_queriedAt.erase(flight.endpoint);
+    queryEngine(flight.endpoint, now, actions);
 }
 
-/// An engine that begins a request in the moment in which it is given up ends without
-/// breaking it off.
-void Relay::noteGivenUp(const Flight &flight, Time now)
+/// Records an abandoned attempt. An engine that started the request just before can crash
+/// without breaking the attempt.
+void Relay::recordAbandoned(const Flight &flight, Time now)
 {
     const FleetEndpoint *endpoint = m_fleet->find(flight.endpoint);
-    if (!flight.runsWell && !flight.request.digest.empty() && endpoint && !endpoint->draining)
-        m_quarantine.givenUp(flight.request.digest, flight.endpoint, now);
+    if (!flight.provenHarmless && !flight.request.digest.empty() && endpoint && !endpoint->draining)
+        m_quarantine.attemptAbandoned(flight.request.digest, flight.endpoint, now);
 }
 
-/// An engine in the middle of the path breaks nothing off when it ends: the first one
-/// lives, and waits for it. One that passed an event on has run the request.
-void Relay::noteStalled(Flight &flight, const std::string &endpoint, Time now)
+/// Records that the attempt is stalled at an engine in the middle of its path. A crash there
+/// does not break the attempt: the first engine is alive and waits. After the first event, all
+/// engines of the path have executed the request, so the request is not the cause.
+void Relay::recordStalled(Flight &flight, const std::string &endpoint, Time now)
 {
     const FleetEndpoint *found = m_fleet->find(endpoint);
-    if (flight.runsWell || flight.firstEventAt || flight.request.digest.empty()
+    if (flight.provenHarmless || flight.firstEventAt || flight.request.digest.empty()
         || endpoint == flight.endpoint || !found || found->draining)
         return;
-    flight.cutEarly = true;
-    m_quarantine.stalledAt(flight.request.digest, endpoint, now);
+    flight.failedEarly = true;
+    m_quarantine.attemptStalled(flight.request.digest, endpoint, now);
 }
 
-/// Whether the flight may not be brought to another endpoint as if it were harmless.
-bool Relay::underSuspicion(const Flight &flight, Time now) const
+/// Whether the request may be the cause of crashes, so that its path must not be changed.
+bool Relay::isSuspected(const Flight &flight, Time now) const
 {
     const std::string &digest = flight.request.digest;
-    return !flight.runsWell
-           && (m_quarantine.undecided(digest, now)
-               || m_quarantine.verdict(digest, now) != Verdict::Free);
+    return !flight.provenHarmless
+           && (m_quarantine.awaitsConfirmation(digest, now)
+               || m_quarantine.sendPermission(digest, now) != SendPermission::Allowed);
 }
 
-void Relay::noteProgress(Flight &flight, Time now, RelayActions &actions)
+void Relay::recordProgress(Flight &flight, Time now, RelayActions &actions)
 {
-    m_quarantine.endpointHeard(flight.endpoint, now);
+    m_quarantine.endpointSentData(flight.endpoint, now);
     if (!flight.firstEventAt)
         flight.firstEventAt = now;
-    if (flight.runsWell || now - *flight.firstEventAt < m_settings.runsWell)
+    if (flight.provenHarmless || now - *flight.firstEventAt < m_settings.harmlessAfter)
         return;
-    flight.runsWell = true;
-    m_quarantine.cameThrough(flight.request.digest, now);
-    endTrial(flight, TrialEnd::CameThrough, actions);
+    flight.provenHarmless = true;
+    m_quarantine.requestSucceeded(flight.request.digest, now);
+    finishTrial(flight, TrialOutcome::Succeeded, actions);
 }
 
-/// Of endpoints that are asked and do not answer the list tells: one that announces
-/// that it leaves did not end under a request.
-void Relay::settleDoubts(Time now)
+/// Resolves unconfirmed crashes from the list of endpoints. An endpoint that announced its
+/// shutdown did not crash.
+void Relay::resolveUnconfirmed(Time now)
 {
-    for (const std::string &id : m_quarantine.doubtful(now)) {
+    for (const std::string &id : m_quarantine.unconfirmedEndpoints(now)) {
         const FleetEndpoint *endpoint = m_fleet->find(id);
         if (!endpoint)
-            m_quarantine.endpointVanished(id, now);
+            m_quarantine.endpointDelisted(id, now);
         else if (endpoint->draining)
             m_quarantine.endpointAnswered(id, now);
     }
 }
 
-void Relay::askDoubtful(Time now, RelayActions &actions)
+void Relay::queryUnconfirmed(Time now, RelayActions &actions)
 {
-    for (const std::string &id : m_quarantine.doubtful(now))
-        ask(id, now, actions);
+    for (const std::string &id : m_quarantine.unconfirmedEndpoints(now))
+        queryEngine(id, now, actions);
 }
 
-/// \return whether the flight is not to be sent now; it may have ended.
-bool Relay::holdBack(FlightId id, Flight &flight, Time now, RelayActions &actions)
+/// Checks whether the request is suspected of causing crashes.
+/// \return whether the flight must not be sent now; it may be finished already.
+bool Relay::blockIfSuspected(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     const std::string &digest = flight.request.digest;
-    if (flight.runsWell)
+    if (flight.provenHarmless)
         return false;
-    if (m_quarantine.undecided(digest, now)) {
-        flight.repeatOwed = flight.sends > 0;
+    if (m_quarantine.awaitsConfirmation(digest, now)) {
+        flight.nextSendIsRetry = flight.sends > 0;
         return true;
     }
-    switch (m_quarantine.verdict(digest, now)) {
-    case Verdict::Free:
+    switch (m_quarantine.sendPermission(digest, now)) {
+    case SendPermission::Allowed:
         return false;
-    case Verdict::ByTrial:
+    case SendPermission::TrialOnly:
         return awaitTrial(id, flight, now, actions);
-    case Verdict::Unsettled:
-    case Verdict::Held:
+    case SendPermission::Deferred:
+    case SendPermission::Quarantined:
         break;
     }
-    endHeld(id, flight, m_quarantine.heldFor(digest, now), now, actions);
+    finishBlocked(id, flight, m_quarantine.blockedFor(digest, now), now, actions);
     return true;
 }
 
-/// Whether the flight has the permit to run, where it needs one.
+/// Whether the request may run, with a permit if it needs one.
 bool Relay::mayRun(const Flight &flight, Time now) const
 {
-    if (flight.runsWell)
+    if (flight.provenHarmless)
         return true;
     const bool permitted = flight.trial.state >= Trial::State::Granted && now < flight.trial.until;
-    const Verdict verdict = m_quarantine.verdict(flight.request.digest, now);
-    return verdict == Verdict::Free || (verdict == Verdict::ByTrial && permitted);
+    const SendPermission permission = m_quarantine.sendPermission(flight.request.digest, now);
+    return permission == SendPermission::Allowed
+           || (permission == SendPermission::TrialOnly && permitted);
 }
 
-/// Asks for the permit to run the request at the endpoint that would be chosen now.
-/// \return whether the flight is not to be sent now.
+/// Requests the permit for a trial at the endpoint that would be chosen now.
+/// \return whether the flight must not be sent now.
 bool Relay::awaitTrial(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     Trial &trial = flight.trial;
     if (trial.state == Trial::State::Granted && now < trial.until)
         return false;
-    flight.repeatOwed = flight.sends > 0;
-    if (trial.state == Trial::State::Asked)
+    flight.nextSendIsRetry = flight.sends > 0;
+    if (trial.state == Trial::State::Requested)
         return true;
-    if (!trial.taken.empty() && now - trial.askedAt < m_settings.askTrialAgain)
+    if (!trial.busyEndpoints.empty() && now - trial.requestedAt < m_settings.trialRetryInterval)
         return true;
-    SendWhole send;
+    SendRequest send;
     trial.state = Trial::State::None;
     if (!choose(flight, now, send))
         return true;
-    trial.state = Trial::State::Asked;
-    trial.askedAt = now;
+    trial.state = Trial::State::Requested;
+    trial.requestedAt = now;
     trial.endpoint = send.endpoint;
     trial.first = send.path.empty() ? std::nullopt : std::make_optional(send.path.front());
     const std::string &digest = flight.request.digest;
-    const bool limited = m_quarantine.crashes(digest, now) >= m_quarantine.settings().crashesToHold;
-    actions.push_back(AskTrial {id, {digest, send.endpoint, limited}});
+    const bool limited =
+        m_quarantine.crashes(digest, now) >= m_quarantine.settings().crashesToQuarantine;
+    actions.push_back(RequestTrial {id, {digest, send.endpoint, limited}});
     return true;
 }
 
@@ -144,79 +148,82 @@
                           Time now, RelayActions &actions)
 {
     const auto it = m_flights.find(id);
-    if (it == m_flights.end() || it->second.trial.state != Trial::State::Asked) {
+    if (it == m_flights.end() || it->second.trial.state != Trial::State::Requested) {
         if (answer.granted)
-            actions.push_back(EndTrial {request.digest, TrialEnd::NotSent});
+            actions.push_back(FinishTrial {request.digest, TrialOutcome::NotSent});
         return;
     }
     Flight &flight = it->second;
     if (answer.granted) {
         flight.trial.state = Trial::State::Granted;
-        flight.trial.until = flight.trial.askedAt + answer.lasts;
+        flight.trial.until = flight.trial.requestedAt + answer.validFor;
         return dispatch(id, flight, now, actions);
     }
     flight.trial.state = Trial::State::None;
-    if (answer.endpointTaken) {
-        flight.trial.taken.insert(flight.trial.endpoint);
+    if (answer.endpointBusy) {
+        flight.trial.busyEndpoints.insert(flight.trial.endpoint);
         return;
     }
-    endHeld(id, flight, answer.wait, now, actions);
+    finishBlocked(id, flight, answer.wait, now, actions);
 }
 
-void Relay::dropTrials()
+void Relay::expireTrials()
 {
     for (auto &[id, flight] : m_flights)
         flight.trial.until = Time {};
 }
 
-void Relay::endTrial(Flight &flight, TrialEnd end, RelayActions &actions)
+void Relay::finishTrial(Flight &flight, TrialOutcome outcome, RelayActions &actions)
 {
     if (flight.trial.state < Trial::State::Granted)
         return;
     flight.trial.state = Trial::State::None;
-    actions.push_back(EndTrial {flight.request.digest, end});
+    actions.push_back(FinishTrial {flight.request.digest, outcome});
 }
 
-/// Those refused together are told different times, so that they do not all return at the
-/// moment from which one of them may be tried.
-void Relay::endHeld(FlightId id, const Flight &flight, Duration wait, Time now,
-                    RelayActions &actions)
+/// Finishes a flight that must not be sent. The time to retry has jitter, so that callers
+/// refused together do not all retry when the next trial is allowed.
+void Relay::finishBlocked(FlightId id, const Flight &flight, Duration wait, Time now,
+                          RelayActions &actions)
 {
-    const bool held = m_quarantine.verdict(flight.request.digest, now) == Verdict::Held;
-    std::uniform_int_distribution<std::int64_t> spread(0,
-                                                       m_quarantine.settings().settleAfter.count());
-    m_counts.heldBack += 1;
-    end(id, endOf(flight, FlightEnd::Failed),
-        held ? "held back: endpoints ended under it" : "endpoints ended under it; not tried now",
-        actions, wait + Duration(spread(m_random)));
+    const bool quarantined =
+        m_quarantine.sendPermission(flight.request.digest, now) == SendPermission::Quarantined;
+    std::uniform_int_distribution<std::int64_t> spread(
+        0, m_quarantine.settings().propagationDelay.count());
+    m_counts.quarantined += 1;
+    finish(id, outcomeOf(flight, FlightOutcome::Failed),
+           quarantined ? "request quarantined: endpoints crashed while running it"
+                       : "endpoints crashed while running the request; no trial is permitted now",
+           actions, wait + Duration(spread(m_random)));
 }
 
-/// What waits at an endpoint to be run when it becomes known that other endpoints ended
-/// under it would end this one too.
-bool Relay::recall(FlightId id, Flight &flight, Time now, RelayActions &actions)
+/// Abandons an attempt whose request was found to crash endpoints. The request may still be queued
+/// at the endpoint of the attempt, and would crash that endpoint too.
+bool Relay::abandonSuspectedAttempt(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (flight.state == State::Waiting || mayRun(flight, now))
         return false;
     const std::string &digest = flight.request.digest;
-    const bool begun = flight.firstEventAt.has_value();
-    if (m_quarantine.verdict(digest, now) == Verdict::ByTrial
+    const bool hasEvents = flight.firstEventAt.has_value();
+    if (m_quarantine.sendPermission(digest, now) == SendPermission::TrialOnly
         && flight.trial.state != Trial::State::Sent
-        && (begun || m_quarantine.crashes(digest, now) < m_quarantine.settings().crashesToTry))
+        && (hasEvents
+            || m_quarantine.crashes(digest, now) < m_quarantine.settings().crashesToRequireTrial))
         return false;
     actions.push_back(AbandonAttempt {id, flight.attempt});
-    noteGivenUp(flight, now);
-    flight.ranAt.push_back(flight.endpoint);
-    endHeld(id, flight, m_quarantine.heldFor(digest, now), now, actions);
+    recordAbandoned(flight, now);
+    flight.mayHaveRunAt.push_back(flight.endpoint);
+    finishBlocked(id, flight, m_quarantine.blockedFor(digest, now), now, actions);
     return true;
 }
 
-void Relay::tellCrashes(Time now, RelayActions &actions)
+void Relay::publishCrashes(Time now, RelayActions &actions)
 {
-    CrashNews news = m_quarantine.news(now);
-    if (news.empty())
+    CrashUpdate update = m_quarantine.takeUpdate(now);
+    if (update.empty())
         return;
-    m_counts.crashes += news.added.size();
-    actions.push_back(TellCrashes {std::move(news)});
+    m_counts.crashes += update.added.size();
+    actions.push_back(PublishCrashes {std::move(update)});
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/relaypath.cpp
+++ b/src/libbalsamloft/relaypath.cpp
@@ -1,4 +1,4 @@
-// The part of Relay that has a running attempt carried on along another path.
+// The part of Relay that moves a running attempt to another path.
 
 #include <balsamloft/relay.h>
 
@@ -6,37 +6,38 @@
 
 namespace balsamloft {
 
-/// An engine in the middle of a path dies: its streams stall, though their first
-/// engine, their connections and most of what was read are well. Sent again,
-/// each would be read again by all engines and take one of the few repeats; so
-/// the first engine is told another path. What it cannot do is sent again.
+/// Orders the first engine to continue along another path, after an engine in the middle of the
+/// path failed. The first engine, its connection and most of the prefilled state are intact. A
+/// retry would prefill the prompt on all engines again and use one of the few retries, so it is
+/// only the fallback.
+/// \return whether an order was sent.
 bool Relay::changePath(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
-    if (flight.path.size() < 2 || flight.pathChanges >= m_settings.mostPathChanges
-        || underSuspicion(flight, now))
+    if (flight.path.size() < 2 || flight.pathChanges >= m_settings.maxPathChanges
+        || isSuspected(flight, now))
         return false;
     const PathPart first = flight.path.front();
     const FleetEndpoint *engine = m_fleet->find(first.endpoint);
-    if (!engine || !m_book.usable(first.endpoint, now))
+    if (!engine || !m_engines.usable(first.endpoint, now))
         return false;
     PathQuery query;
     query.domain = flight.domain;
     query.promptTokens = flight.request.promptTokens;
     query.answerTokens = flight.request.answerTokens;
-    query.first = &first;
-    query.leastSpread = flight.cutEarly ? m_settings.scatter : 0;
-    auto path = m_chooser.choose(*m_fleet, service(flight), m_book, query, now, m_random);
+    query.firstPart = &first;
+    query.minCostNoise = flight.failedEarly ? m_settings.rerouteSpread : 0;
+    auto path = m_chooser.choose(*m_fleet, service(flight), m_engines, query, now, m_random);
     if (!path || path->full || path->parts == flight.path)
         return false;
-    vacate(flight);
+    removeLoad(flight);
     flight.path = std::move(path->parts);
-    expect(flight, *path);
-    occupy(flight);
-    crossDomains(flight, now);
+    setExpectedTimes(flight, *path);
+    addLoad(flight);
+    recordTransfers(flight, now);
     flight.pathChanges += 1;
-    flight.pathAskedAt = now;
-    // What it passed so far says nothing of its new engines.
-    if (!flight.runsWell)
+    flight.pathChangeSentAt = now;
+    // Earlier events do not prove that the request is harmless to its new engines.
+    if (!flight.provenHarmless)
         flight.firstEventAt.reset();
     m_counts.pathsChanged += 1;
     actions.push_back(ChangePath {id, flight.attempt, flight.request.id, first.endpoint,
@@ -45,25 +46,25 @@
 }
 
 void Relay::pathChanged(FlightId id, std::uint32_t attempt, PathReply reply,
-                        std::string_view atAddress, Time now, RelayActions &actions)
+                        std::string_view faultyAddress, Time now, RelayActions &actions)
 {
     Flight *flight = current(id, attempt);
-    if (!flight || !flight->pathAskedAt)
+    if (!flight || !flight->pathChangeSentAt)
         return;
-    flight->pathAskedAt.reset();
+    flight->pathChangeSentAt.reset();
     if (reply == PathReply::Refused) {
-        if (const FleetEndpoint *culprit = m_fleet->atAddress(atAddress))
-            m_book.outOfRoom(culprit->id, now);
+        if (const FleetEndpoint *faulty = m_fleet->findByAddress(faultyAddress))
+            m_engines.refusedBusy(faulty->id, now);
         if (changePath(id, *flight, now, actions))
             return;
     }
-    if (reply != PathReply::Taken) {
+    if (reply != PathReply::Accepted) {
         if (worthMoving(*flight, now))
-            recover(id, *flight, "its path could not be changed", now, actions);
+            abandonAndRetry(id, *flight, "the path could not be changed", now, actions);
         return;
     }
-    // What its new engines have to read is no silence of theirs.
-    flight->progressAt = now + flight->expectedFirst;
+    // The new engines need time to prefill the prompt before the next event.
+    flight->progressAt = now + flight->expectedFirstEvent;
 }
 
 } // namespace balsamloft
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -1,4 +1,4 @@
-// The part of Relay that notices silence, and what is done about it.
+// The part of Relay that detects unresponsive endpoints and moves their requests.
 
 #include <balsamloft/relay.h>
 
@@ -6,157 +6,157 @@
 
 namespace balsamloft {
 
-/// The first endpoint on the flight's way that does not answer or is gone.
+/// The first endpoint on the flight's path that is suspected or no longer listed.
 std::optional<std::string> Relay::firstSuspect(const Flight &flight, Time now) const
 {
     if (flight.path.empty())
-        return m_book.suspected(flight.endpoint, now) ? std::make_optional(flight.endpoint)
-                                                      : std::nullopt;
+        return m_engines.suspected(flight.endpoint, now) ? std::make_optional(flight.endpoint)
+                                                         : std::nullopt;
     const auto found =
         std::find_if(flight.path.begin(), flight.path.end(), [&](const PathPart &part) {
-            return m_book.suspected(part.endpoint, now) || !m_fleet->find(part.endpoint);
+            return m_engines.suspected(part.endpoint, now) || !m_fleet->find(part.endpoint);
         });
     return found == flight.path.end() ? std::nullopt : std::make_optional(found->endpoint);
 }
 
-void Relay::ask(const std::string &endpoint, Time now, RelayActions &actions)
+void Relay::queryEngine(const std::string &endpoint, Time now, RelayActions &actions)
 {
-    const auto [it, fresh] = m_askedAt.try_emplace(endpoint, now);
-    if (!fresh && now - it->second < m_settings.askAgain)
+    const auto [it, inserted] = m_queriedAt.try_emplace(endpoint, now);
+    if (!inserted && now - it->second < m_settings.queryInterval)
         return;
     it->second = now;
     if (const FleetEndpoint *found = m_fleet->find(endpoint))
-        actions.push_back(AskEngine {endpoint, found->address});
+        actions.push_back(QueryEngine {endpoint, found->address});
 }
 
-void Relay::reported(const std::string &endpoint, const std::vector<std::string> &stalledAt,
-                     double pace, Time now, RelayActions &actions)
+void Relay::queryAnswered(const std::string &endpoint, const std::vector<std::string> &stalledAt,
+                          double slowdown, Time now, RelayActions &actions)
 {
-    m_book.cleared(endpoint, now);
-    m_book.paced(endpoint, pace, now);
+    m_engines.recordAnswer(endpoint, now);
+    m_engines.setSlowdown(endpoint, slowdown, now);
     for (const std::string &address : stalledAt)
-        if (const FleetEndpoint *found = m_fleet->atAddress(address))
-            m_book.suspect(found->id, now);
+        if (const FleetEndpoint *found = m_fleet->findByAddress(address))
+            m_engines.suspect(found->id, now);
     tick(now, actions);
 }
 
-void Relay::enginesSeen(const EngineReports &reports, Time now, RelayActions &actions)
+void Relay::applyEngineReports(const EngineReports &reports, Time now, RelayActions &actions)
 {
     for (const EngineState &state : reports.changed) {
         if (!m_fleet->find(state.id))
             continue;
-        m_book.reported(state, now);
+        m_engines.reported(state, now);
         if (state.silent)
-            m_quarantine.endpointSilent(state.id, state.at);
+            m_quarantine.endpointUnresponsive(state.id, state.at);
     }
     for (const FleetEndpoint &each : m_fleet->endpoints)
         if (const auto asOf = reports.asOf.find(each.domain); asOf != reports.asOf.end())
-            m_book.stillSo(each.id, asOf->second, now);
+            m_engines.confirmUnchanged(each.id, asOf->second, now);
     tick(now, actions);
 }
 
-void Relay::reportFailed(const std::string &endpoint, Time now, RelayActions &actions, bool refused)
+void Relay::queryFailed(const std::string &endpoint, Time now, RelayActions &actions, bool refused)
 {
-    m_book.suspect(endpoint, now);
+    m_engines.suspect(endpoint, now);
     if (refused)
-        m_quarantine.endpointEnded(endpoint, now);
+        m_quarantine.endpointCrashed(endpoint, now);
     tick(now, actions);
 }
 
-void Relay::follow(FleetPtr fleet, Time now, RelayActions &actions)
+void Relay::setFleet(FleetPtr fleet, Time now, RelayActions &actions)
 {
     m_fleet = std::move(fleet);
-    m_book.follow(*m_fleet);
-    m_limits.follow(*m_fleet);
-    std::erase_if(m_askedAt, [&](const auto &each) { return !m_fleet->find(each.first); });
-    settleDoubts(now);
+    m_engines.removeUnlisted(*m_fleet);
+    m_limits.removeUnlisted(*m_fleet);
+    std::erase_if(m_queriedAt, [&](const auto &each) { return !m_fleet->find(each.first); });
+    resolveUnconfirmed(now);
     tick(now, actions);
 }
 
-/// A process that stood still finds all its streams silent for that long. The
-/// silence was its own: charged to the engines, it would eject all of them.
-void Relay::forgiveLostTime(Time now)
+/// Discounts the time that this process was paused. All its streams seem to have paused for that
+/// time, so that all their engines would be suspected.
+void Relay::discountPause(Time now)
 {
-    const Duration lost = now - m_lastTick;
-    if (m_lastTick != Time {} && lost > m_settings.pauseLived)
+    const Duration pause = now - m_lastTick;
+    if (m_lastTick != Time {} && pause > m_settings.maxTickInterval)
         for (auto &[id, flight] : m_flights) {
-            flight.sentAt += std::min(lost, now - flight.sentAt);
-            flight.progressAt += std::min(lost, now - flight.progressAt);
+            flight.sentAt += std::min(pause, now - flight.sentAt);
+            flight.progressAt += std::min(pause, now - flight.progressAt);
         }
     m_lastTick = m_flights.empty() ? Time {} : now;
 }
 
 void Relay::tick(Time now, RelayActions &actions)
 {
-    forgiveLostTime(now);
+    discountPause(now);
     for (const FlightId id : flightIds()) {
         const auto it = m_flights.find(id);
         if (it != m_flights.end())
             watch(id, it->second, now, actions);
     }
-    askDoubtful(now, actions);
-    tellCrashes(now, actions);
+    queryUnconfirmed(now, actions);
+    publishCrashes(now, actions);
 }
 
 void Relay::watch(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     if (now >= flight.deadline) {
         if (flight.state != State::Waiting) {
-            noteGivenUp(flight, now);
-            flight.ranAt.push_back(flight.endpoint);
+            recordAbandoned(flight, now);
+            flight.mayHaveRunAt.push_back(flight.endpoint);
             actions.push_back(AbandonAttempt {id, flight.attempt});
         }
-        return end(id, endOf(flight, FlightEnd::TimedOut), "its time is over", actions);
+        return finish(id, outcomeOf(flight, FlightOutcome::TimedOut), "deadline exceeded", actions);
     }
-    if (recall(id, flight, now, actions))
+    if (abandonSuspectedAttempt(id, flight, now, actions))
         return;
     if (flight.state == State::Waiting)
-        return giveUpWaiting(id, flight, now, actions);
+        return watchWaiting(id, flight, now, actions);
     if (service(flight).model)
         return watchStream(id, flight, now, actions);
-    if (flight.request.route->idempotent() && now - flight.sentAt >= m_settings.callSilence
+    if (flight.request.route->idempotent() && now - flight.sentAt >= m_settings.callAttemptTimeout
         && flight.sends < flight.request.route->maxAttempts && mayRunAgain(flight))
-        recover(id, flight, "no answer of " + flight.endpoint, now, actions);
+        abandonAndRetry(id, flight, "no answer from " + flight.endpoint, now, actions);
 }
 
-void Relay::giveUpWaiting(FlightId id, Flight &flight, Time now, RelayActions &actions)
+void Relay::watchWaiting(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
     dispatch(id, flight, now, actions);
     const auto it = m_flights.find(id);
     if (it == m_flights.end() || it->second.state != State::Waiting)
         return;
     const Duration waited = now - flight.waitingSince;
-    const auto hold = Duration(static_cast<std::int64_t>(
+    const auto maxWait = Duration(static_cast<std::int64_t>(
         static_cast<double>(flight.request.route->targetLatency.count())
-        * (service(flight).model ? m_settings.holdStreams : m_settings.holdCalls)));
+        * (service(flight).model ? m_settings.streamWaitShare : m_settings.callWaitShare)));
     const Duration paused = now - flight.progressAt;
-    const bool over = flight.passing          ? paused >= m_settings.goOnWithin
-                      : !flight.ranAt.empty() ? paused >= m_settings.resumeWithin
-                                              : waited >= hold;
-    if (!over)
+    const bool expired = flight.eventsForwarded         ? paused >= m_settings.resumeTimeout
+                         : !flight.mayHaveRunAt.empty() ? paused >= m_settings.rerunTimeout
+                                                        : waited >= maxWait;
+    if (!expired)
         return;
-    const FlightEnd how = endOf(flight, FlightEnd::Failed);
+    const FlightOutcome outcome = outcomeOf(flight, FlightOutcome::Failed);
     std::string reason = flight.lastReason;
-    end(id, how, std::move(reason), actions);
+    finish(id, outcome, std::move(reason), actions);
 }
 
-void Relay::recover(FlightId id, Flight &flight, std::string reason, Time now,
-                    RelayActions &actions)
+void Relay::abandonAndRetry(FlightId id, Flight &flight, std::string reason, Time now,
+                            RelayActions &actions)
 {
     actions.push_back(AbandonAttempt {id, flight.attempt});
-    noteGivenUp(flight, now);
-    const std::string culprit = flight.endpoint;
-    again(id, flight, true, culprit, std::move(reason), now, actions);
+    recordAbandoned(flight, now);
+    const std::string faultyEndpoint = flight.endpoint;
+    retry(id, flight, true, faultyEndpoint, std::move(reason), now, actions);
 }
 
-/// A stream that has begun is lost for sure once it is broken off and cannot go on
-/// elsewhere; left alone, it goes on if its engine was only slow, or if another path
-/// turns up in time. One that has not begun is better told at once.
+/// Whether the flight should be abandoned and retried. A started stream is only moved if there is
+/// a retry and a path for it: without them it would be lost, while waiting may help if its engine
+/// is only slow or another path appears. A request without events is moved or refused at once.
 bool Relay::worthMoving(const Flight &flight, Time now)
 {
-    if (!flight.passing)
+    if (!flight.eventsForwarded)
         return true;
-    if (!mayRunAgain(flight, flight.endpoint) || !budget(flight).affords(now))
+    if (!mayRunAgain(flight, flight.endpoint) || !budget(flight).canWithdraw(now))
         return false;
     std::set<std::string> without = flight.avoid;
     without.insert(flight.endpoint);
@@ -166,34 +166,34 @@
 
 void Relay::watchStream(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
-    if (flight.pathAskedAt) {
-        if (now - *flight.pathAskedAt >= m_settings.pathChangeWithin)
+    if (flight.pathChangeSentAt) {
+        if (now - *flight.pathChangeSentAt >= m_settings.pathChangeTimeout)
             pathChanged(id, flight.attempt, PathReply::Lost, {}, now, actions);
         return;
     }
     const Duration pause = now - flight.progressAt;
     const Duration expected =
-        flight.state == State::Streaming ? flight.expectedGap : flight.expectedFirst;
-    const std::optional<std::string> suspect = firstSuspect(flight, now);
+        flight.state == State::Streaming ? flight.expectedEventInterval : flight.expectedFirstEvent;
+    const std::optional<std::string> suspectedEngine = firstSuspect(flight, now);
     const bool idempotent = flight.request.route->idempotent();
-    if (suspect && pause >= m_settings.brokenPause + expected) {
-        noteStalled(flight, *suspect, now);
-        flight.lastReason = "an engine of its path does not answer";
+    if (suspectedEngine && pause >= m_settings.suspectPause + expected) {
+        recordStalled(flight, *suspectedEngine, now);
+        flight.lastReason = "an engine of the path does not answer";
         if (changePath(id, flight, now, actions))
             return;
         if (idempotent && worthMoving(flight, now))
-            return recover(id, flight, flight.lastReason, now, actions);
+            return abandonAndRetry(id, flight, flight.lastReason, now, actions);
     }
-    // One that has not begun may wait its turn at a busy engine; moved, it
-    // would wait again elsewhere, and cost a repeat.
-    const Duration most =
-        flight.state == State::Streaming ? m_settings.giveUpPause : m_settings.giveUpStart;
-    if (idempotent && pause >= most + expected && worthMoving(flight, now))
-        return recover(id, flight, "stands still", now, actions);
-    const auto patience =
-        Duration(static_cast<std::int64_t>(expected.count() * m_settings.silenceGaps));
-    if (pause >= std::max(m_settings.silence, patience))
-        ask(flight.endpoint, now, actions);
+    // A request without events may be queued at a busy engine. If moved, it would be queued again
+    // elsewhere and use a retry, so its timeout is longer.
+    const Duration timeout =
+        flight.state == State::Streaming ? m_settings.stallTimeout : m_settings.startTimeout;
+    if (idempotent && pause >= timeout + expected && worthMoving(flight, now))
+        return abandonAndRetry(id, flight, "stream stalled", now, actions);
+    const auto queryPause =
+        Duration(static_cast<std::int64_t>(expected.count() * m_settings.queryAfterPauses));
+    if (pause >= std::max(m_settings.queryAfterPause, queryPause))
+        queryEngine(flight.endpoint, now, actions);
 }
 
 } // namespace balsamloft
--- a/src/libweb/fuzzcases.cpp
+++ b/src/libweb/fuzzcases.cpp
@@ -1,7 +1,7 @@
 #include "fuzzcases.h"
 
 #include <balsamloft/callerapi.h>
-#include <balsamloft/configkeeper.h>
+#include <balsamloft/configmanager.h>
 #include <balsamloft/enginewire.h>
 #include <balsamloft/entryprotocol.h>
 #include <balsamloft/peersocket.h>
@@ -23,7 +23,7 @@
         std::abort();
 }
 
-ConfigPtr smallConfig()
+ConfigPtr minimalConfig()
 {
     const ConfigEntries entries {
         {"rules/models/m", R"({"name":"m","layers":4})"},
@@ -36,7 +36,7 @@
 
 void callerRequest(std::string_view bytes)
 {
-    static const ConfigPtr config = smallConfig();
+    static const ConfigPtr config = minimalConfig();
     http::request_parser<http::string_body> parser;
     parser.eager(true);
     parser.header_limit(4096);
@@ -81,15 +81,15 @@
     const std::string_view key = bytes.substr(0, line);
     const std::string_view value = bytes.substr(std::min(line + 1, bytes.size()));
     Reason reason;
-    if (const auto endpoint = protocol->endpoint(key, value, reason)) {
+    if (const auto endpoint = protocol->parseEndpoint(key, value, reason)) {
         require(endpoint->name == key && !endpoint->service.empty());
         require(endpoint->layers.begin <= endpoint->layers.end);
     } else {
         require(!reason.empty());
     }
-    protocol->report(value, reason);
-    std::vector<Reason> leftOut;
-    protocol->routeTable(value, leftOut, reason);
+    protocol->parseReport(value, reason);
+    std::vector<Reason> skippedEntries;
+    protocol->parseRouteTable(value, skippedEntries, reason);
 }
 
 void messages(std::string_view bytes)
--- a/testsuite/entry/entryworld.h
+++ b/testsuite/entry/entryharness.h
@@ -1,6 +1,6 @@
 /// \file
-/// One `balsamloft-entry` before a store and endpoints that answer whatever a
-/// test wants, in a protocol of the project's own.
+/// Runs one `balsamloft-entry` with a fake store and endpoints controlled by the test. Uses the
+/// stand-in protocol, which is independent of the platform.
 
 #pragma once
 
@@ -11,15 +11,15 @@
 
 namespace balsamloft::testsuite {
 
-/// The platform's store, as far as an instance needs it.
-class Store
+/// A fake of the platform's store.
+class FakeStore
 {
 public:
-    std::atomic<bool> down {false};
-    std::atomic<bool> silent {false};
+    std::atomic<bool> down {false}; ///< answers 503
+    std::atomic<bool> silent {false}; ///< does not answer
 
-    /// Questions that are held end at once, not after the seconds that they may be held.
-    ~Store() { down = true; }
+    /// Answers waiting long polls immediately.
+    ~FakeStore() { down = true; }
 
     void put(const std::string &table, const std::string &key, const std::string &value)
     {
@@ -33,7 +33,7 @@
         m_tables.drop(table, key);
     }
 
-    /// Writes a row and drops it with nothing read in between.
+    /// Writes and deletes a row in one step, so that no read sees the row.
     void putAndDrop(const std::string &table, const std::string &key, const std::string &value)
     {
         const std::lock_guard lock(m_mutex);
@@ -102,8 +102,8 @@
     return request.substr(begin, request.find("\r\n", begin) - begin);
 }
 
-/// An endpoint's ordinary answer.
-inline std::string good(const std::string &request, const std::string &body)
+/// A valid answer of an endpoint.
+inline std::string okAnswer(const std::string &request, const std::string &body)
 {
     return "HTTP/1.1 200 OK\r\nRequest-Id: " + headerOf(request, "Request-Id")
            + "\r\nSeal: s\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -127,11 +127,11 @@
            + "\r\nSeal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 }
 
-/// One instance before a store, with a key, and a route of each kind.
-class Entry
+/// One instance with a fake store, an API key and a route of each kind.
+class EntryHarness
 {
 public:
-    explicit Entry(bool configured = true, const std::string &revocationMs = "30000")
+    explicit EntryHarness(bool configured = true, const std::string &revocationMs = "30000")
     {
         if (configured)
             configure(1, R"({"good-key":"team-a"})");
@@ -157,42 +157,42 @@
                         {"name":"stream","host":"h","prefix":"/stream/","kind":"stream","service":"model"}]})");
     }
 
-    void endpoint(const std::string &id, const std::string &service, const std::string &address,
-                  const std::string &more = "")
+    void addEndpoint(const std::string &id, const std::string &service, const std::string &address,
+                     const std::string &more = "")
     {
         store.put("endpoints", id,
                   R"({"service":")" + service + R"(","address":")" + address
                       + R"(","domain":"d","kind":"card")" + more + "}");
-        // Known once the number of endpoints that the instance counts has grown.
+        // Waits until the instance has logged the new number of endpoints.
         const std::string wanted = "\"endpoints\":" + std::to_string(++m_endpoints);
         waitUntil([&] { return process->output().find(wanted) != std::string::npos; });
     }
 
     bool isReady() const
     {
-        return exchange(ready, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n", wholeAnswer)
+        return exchange(ready, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n", completeAnswer)
             .starts_with("HTTP/1.1 200");
     }
 
-    std::string ask(const std::string &path, const std::string &key = "good-key",
-                    const std::string &more = "") const
+    std::string post(const std::string &path, const std::string &key = "good-key",
+                     const std::string &more = "") const
     {
         return exchange(callers,
                         "POST " + path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: r1\r\nTeam-Key: "
                             + key + "\r\nDeadline-Ms: 5000\r\nTokens: 10,10\r\n" + more
                             + "Content-Length: 2\r\n\r\nhi",
-                        wholeAnswer);
+                        completeAnswer);
     }
 
-    /// Asks until the answer ends with \a end: on a busy machine a call may be
-    /// given up and refused as not run.
-    bool serves(const std::string &path, const std::string &end,
-                const std::string &key = "good-key") const
+    /// Repeats the request until the answer ends with \a end: on a busy machine, attempts may time
+    /// out and be refused.
+    bool answersWith(const std::string &path, const std::string &end,
+                     const std::string &key = "good-key") const
     {
-        return waitUntil([&] { return ask(path, key).ends_with(end); });
+        return waitUntil([&] { return post(path, key).ends_with(end); });
     }
 
-    Store store;
+    FakeStore store;
     std::string callers = freeAddress();
     std::string ready = freeAddress();
     std::unique_ptr<Process> process;
