--- a/src/include/balsamloft/actions.h
+++ b/src/include/balsamloft/actions.h
@@ -15,8 +15,9 @@
 /// Whether a request is addressed to a model or to a plain service.
 enum class TargetKind : std::uint8_t { Model, Service };
 
-/// The parts of a caller's request that routing decisions need. The body of a service call stays
-/// in the I/O layer; the prompt is included because a resumed completion sends it again.
+/// The parts of a caller's request that routing decisions need. The body of a service call stays in
+/// the I/O layer; the prompt is included because it is sent again when a completion resumes after a
+/// failure.
 struct Request
 {
     RequestId id = 0;
@@ -29,7 +30,7 @@
     bool idempotentMethod = true; ///< services only: the HTTP method is idempotent
     std::string key; ///< idempotency key; empty if the caller sent none
     std::string contentDigest; ///< detects an idempotency key that is reused for other content
-    bool nonIdempotent = false; ///< set by the caller; the rules can set it, but not clear it
+    bool nonIdempotent = false; ///< set by the caller or the rules; the rules cannot clear it
     Priority priority = Priority::Normal; ///< requested priority; the rules may lower it
     Time deadline {};
 };
--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -16,7 +16,7 @@
 {
     std::string instance; ///< unique name of this instance and its incarnation
     std::size_t batchSize = 64; ///< maximum number of rows written in one transaction
-    Duration claimTimeout {2'000'000}; ///< after which a claim is answered as Unavailable
+    Duration claimTimeout {2'000'000}; ///< time after which a claim is answered as Unavailable
     Duration retryDelay {50'000};
     Duration maxRetryDelay {2'000'000};
     std::size_t maxPendingResolutions = 20'000; ///< maximum number of outcomes not written yet
@@ -62,11 +62,11 @@
 /// Claims idempotency keys before requests are sent, and stores the answers of
 /// finished requests.
 ///
-/// Relies on conditional writes alone: a claim is written only if the key has no row or its row
-/// is marked free, and only at the version that was read. A claim is never taken over by another
-/// instance. Rows are never deleted: a new row would start at version 1 again, so that a delayed
-/// write to the deleted row could meet its version check. Writes are batched: one transaction is
-/// in progress at a time, and claims that arrive meanwhile go into the next one.
+/// Relies on conditional writes alone: a claim is written only if the key has no row, or if its row
+/// is marked free and still has the version that was read. A claim is never taken over by another
+/// instance. Rows are never deleted: a row created again would start at version 1, and a delayed
+/// write meant for the deleted row could pass its version check. Writes are batched: one
+/// transaction is in progress at a time, and claims that arrive meanwhile go into the next one.
 class ClaimManager
 {
 public:
@@ -106,7 +106,8 @@
         std::uint32_t attempts = 0;
         bool abandoned = false; ///< answered as Unavailable; its row, if written, has to be freed
         bool rowMayExist = false; ///< a write was sent whose outcome is unknown
-        std::uint64_t version = 0; ///< row version: expected by the write, or written if won
+        std::uint64_t version =
+            0; ///< row version that the write expects; once won, the version that it wrote
     };
     /// The value to write to the row of a claim whose request has finished.
     struct Resolution
--- a/src/include/balsamloft/config.h
+++ b/src/include/balsamloft/config.h
@@ -76,7 +76,7 @@
     double weightGigabytes = 0;
     bool nonIdempotent = false; ///< every request to the model runs at most once
     bool scaleToZero = false; ///< an idle model may be unloaded from all engines
-    std::uint32_t alertEndpoints = 0; ///< reserved for alerts in each layer range
+    std::uint32_t alertEndpoints = 0; ///< endpoints reserved for alerts in each layer range
 };
 
 /// Idempotence of a service's paths that begin with a prefix.
@@ -118,8 +118,8 @@
 /// Canonical JSON text of each entry, by path (`inventory/endpoints/e1`).
 using ConfigEntries = std::map<std::string, std::string, std::less<>>;
 
-/// The change of one entry. Without \c before the entry is added, without \c after it is
-/// removed.
+/// The change of one entry. If \c before is absent, the entry is added; if \c after is absent, the
+/// entry is removed.
 struct ConfigEdit
 {
     std::string path;
@@ -136,7 +136,7 @@
 struct ConfigChange
 {
     std::uint64_t version = 0;
-    std::string id; ///< chosen by the proposer; finds a commit whose answer was lost
+    std::string id; ///< chosen by the proposer; used to find a commit whose answer was lost
     std::string author;
     std::string summary;
     WallMillis acceptedAt = 0;
--- a/src/include/balsamloft/configmanager.h
+++ b/src/include/balsamloft/configmanager.h
@@ -21,7 +21,7 @@
     Duration peerTimeout {1'000'000};
     std::size_t historyLength = 512; ///< changes kept for peers and for rebasing
     std::uint64_t snapshotEvery = 100; ///< versions between snapshots
-    std::uint64_t snapshotLag = 200; ///< missing versions above which a snapshot is read first
+    std::uint64_t snapshotLag = 200; ///< if more versions are missing, a snapshot is read first
     std::size_t scanLimit = 200; ///< changes read per scan
     std::uint32_t maxRebases = 8;
 };
--- a/src/include/balsamloft/enginewire.h
+++ b/src/include/balsamloft/enginewire.h
@@ -13,7 +13,7 @@
 struct WireStep
 {
     std::string request;
-    StepRef ref; ///< its request number is not sent
+    StepRef ref; ///< sent without its request number
     bool prefill = false;
     bool firstStage = false;
     bool lastStage = false;
@@ -26,7 +26,7 @@
 struct WireStepAnswer
 {
     std::string request;
-    StepAnswer answer; ///< the request number of \c answer.ref is not sent
+    StepAnswer answer; ///< sent without the request number of \c answer.ref
 };
 
 std::string toJson(const WireStep &step);
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -70,11 +70,12 @@
     LayerRange layers;
     bool busy = false; ///< an order is in progress
     std::uint64_t acceptedOrders = 0; ///< number of orders accepted so far
-    double slowdown = 1; ///< step time relative to what is normal for the kind
+    double slowdown = 1; ///< step time relative to the normal step time of its accelerator kind
     double usedKv = 0; ///< KV memory that cannot be evicted, in tokens times layers
     std::uint32_t running = 0; ///< number of running requests
     std::uint32_t queued = 0; ///< number of waiting requests
-    std::vector<std::string> stalledAddresses; ///< of engines that do not answer this engine
+    std::vector<std::string>
+        stalledAddresses; ///< addresses of engines that do not answer this engine
 
     /// Whether the report comes from a process other than \a endpoint, for example after a restart.
     bool isFromOtherProcess(const FleetEndpoint &endpoint) const
@@ -117,8 +118,9 @@
     virtual std::optional<EngineReport> parseReport(std::string_view body,
                                                     Reason &reason) const = 0;
 
-    /// Orders an engine to hold the layers of \a order. The engine rejects the order unless it has
-    /// accepted exactly \a expectedOrders orders before. \a fencing: token of the placement lease.
+    /// Returns the call that orders an engine to hold the layers of \a order. The engine rejects
+    /// the order unless it has accepted exactly \a expectedOrders orders before. \a fencing: token
+    /// of the placement lease.
     virtual OutgoingCall orderCall(const LayerOrder &order, std::uint64_t expectedOrders,
                                    std::uint64_t fencing) const = 0;
     virtual OrderReply parseOrderReply(int status) const = 0;
@@ -128,8 +130,8 @@
     virtual std::pair<PathReply, std::string> parsePathReply(int status,
                                                              std::string_view body) const = 0;
 
-    /// Instructs the first engine of \a path to continue the request with the id \a request
-    /// along that path.
+    /// Returns the call that instructs the first engine of \a path to continue the request with the
+    /// id \a request along that path.
     virtual OutgoingCall changePathCall(std::string_view request,
                                         std::span<const PathPart> path) const = 0;
     virtual std::string formatPath(std::span<const PathPart> path) const = 0;
--- a/src/include/balsamloft/fairqueue.h
+++ b/src/include/balsamloft/fairqueue.h
@@ -24,7 +24,7 @@
     double share = 1; ///< weight of the team, greater than zero
     Priority priority = Priority::Normal;
     Time deadline {};
-    double cost = 1; ///< expected work in tokens, to which the shares apply
+    double cost = 1; ///< expected work in tokens; the shares divide work, not request counts
 };
 
 /// Orders waiting requests: strict priority between priority classes, weighted fair
@@ -53,9 +53,10 @@
     bool empty() const { return m_items.empty(); }
     std::size_t size() const { return m_items.size(); }
 
-    /// Estimates the cost of the requests that would be served before a new request of \a team
-    /// with \a priority: all requests of higher classes, and the team's own queue in this class
-    /// divided by the team's share among the waiting teams.
+    /// Estimates the cost of the requests that would be served before a new request of \a team with
+    /// \a priority. The estimate adds up the cost of all requests of higher classes and, for this
+    /// class, the cost of the team's waiting requests divided by the team's share among the waiting
+    /// teams.
     double costAhead(Priority priority, std::string_view team, double share) const;
 
 private:
--- a/src/include/balsamloft/httprequest.h
+++ b/src/include/balsamloft/httprequest.h
@@ -21,8 +21,8 @@
 /// Returns the token of `Authorization: Bearer TOKEN`, or nothing.
 std::optional<std::string_view> bearerToken(const HttpRequest &request);
 
-/// Returns the current monotonic time. For code that does I/O only: the routing logic gets the time
-/// as an argument.
+/// Returns the current monotonic time. Only code that does I/O calls this function; the routing
+/// logic gets the time as an argument.
 Time steadyNow();
 
 } // namespace balsamloft
--- a/src/include/balsamloft/httpserver.h
+++ b/src/include/balsamloft/httpserver.h
@@ -26,7 +26,8 @@
     std::uint64_t maxBodyBytes = 4 * 1024 * 1024;
     Duration requestTimeout {15'000'000}; ///< to receive a complete request, idle time included
     Duration writeTimeout {15'000'000}; ///< for each write to the caller
-    std::size_t maxBufferedBytes = 4 * 1024 * 1024; ///< of a stream whose caller reads slowly
+    std::size_t maxBufferedBytes =
+        4 * 1024 * 1024; ///< unsent data of a stream whose caller reads slowly
     std::size_t maxConnections = 10'000;
 };
 
@@ -76,8 +77,8 @@
     /// Returns the port that the server listens on.
     std::uint16_t port() const;
 
-    /// Stops accepting connections and closes each open one after its current answer, idle ones at
-    /// once.
+    /// Stops accepting connections. Closes idle connections at once and each other connection after
+    /// its current answer.
     void stopAccepting();
 
     /// Stops accepting connections and closes all open ones at once.
--- a/src/include/balsamloft/instancelist.h
+++ b/src/include/balsamloft/instancelist.h
@@ -20,8 +20,8 @@
 
 /// Distinguishes live instances from dead ones by the age of their rows.
 ///
-/// No instance can write its row while the store is down, so rows that expire during an
-/// outage do not count as expired until their instances had time to write again. Otherwise
+/// No instance can write its row while the store is down, so a row that expires during an outage
+/// does not count as expired until its instance has had time to write the row again. Otherwise
 /// every instance would drop all others from its list at once and read the store directly.
 class InstanceList
 {
--- a/src/include/balsamloft/lease.h
+++ b/src/include/balsamloft/lease.h
@@ -38,9 +38,8 @@
 inline constexpr std::string_view LeaseTable = "leases";
 
 /// Acquires and renews a lease. Clocks of different processes are never compared: the holder
-/// measures the duration from the time at which it sent the write, and another process takes
-/// over only after it has observed the row unchanged for longer than the duration on its own
-/// clock.
+/// measures the duration from the time at which it sent the write, and another process takes over
+/// only after it has seen the row unchanged, by its own clock, for longer than the duration.
 class LeaseManager
 {
 public:
--- a/src/include/balsamloft/membership.h
+++ b/src/include/balsamloft/membership.h
@@ -85,7 +85,8 @@
     void applyInstanceList(std::span<const ListedInstance> list, Time now,
                            MembershipActions &actions);
 
-    /// Adds the addresses of the inventory's instances to those that are pinged to find peers.
+    /// Adds the addresses of the inventory's instances to the addresses that are pinged to find
+    /// peers.
     void setInventory(std::span<const Instance> instances);
 
     /// Records that an endpoint itself reported that it is shutting down.
--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -40,19 +40,19 @@
 /// Decides from which source this instance reads the store's tables. The first two responsive
 /// instances of a domain, by name, are its domain readers: the first reads the store, the second
 /// stands by and reads it while the first cannot. All other instances form a tree with a limited
-/// fan-out: each reads from its parent, which precedes it by name, or from the parent's
-/// neighbour. If both are stale the instance waits, since new data reaches it through them as
-/// soon as the readers have it. Only if both are unresponsive does it read from its domain's
-/// readers, or from those of other domains.
+/// fan-out: each reads from its parent, which precedes it by name, or from the parent's neighbour.
+/// If the parent and its neighbour are both stale, the instance waits, since these two pass on new
+/// data as soon as the readers have it. Only if both are unresponsive does the instance read from
+/// the readers of its domain or of other domains.
 ///
 /// While the store fails, at most two instances per domain call it. If instances with a stale
 /// source switched to the store, the whole fleet would call the store as soon as it failed for
 /// the readers, without getting newer data. Every answer carries its age, so data does not look
 /// newer after it has passed through several instances.
 ///
-/// An instance that gets no updates from any source reads the store itself. Its sources are
-/// dead, slow or partitioned from it; until they recover it would route requests with outdated
-/// data, or refuse all requests if it has no data yet.
+/// An instance that gets no updates from any source reads the store itself. Its sources are dead,
+/// slow or partitioned from it. If it waited until they recover, it would route requests with
+/// outdated data, or refuse all requests if it has no data yet.
 class PeerDirectory
 {
 public:
@@ -63,14 +63,14 @@
     /// Sets the list of live instances, which may or may not include this instance.
     void setInstances(std::vector<PeerInstance> instances);
 
-    /// Records that the instance did not answer in time.
+    /// Records that the instance \a name did not answer in time.
     void markUnresponsive(const std::string &name, Time now);
 
-    /// Records that the instance answered that it has no data of the table yet.
+    /// Records that the instance \a name has no data of the table yet, according to its answer.
     void recordEmptyAnswer(const std::string &name, Time now);
 
-    /// Records an answer whose data was current \a age ago. \a direct: the answering instance
-    /// read the data from the store itself.
+    /// Records an answer whose data was current \a age ago. \a direct: the instance \a name read
+    /// the data from the store, not from another instance.
     void recordAnswer(const std::string &name, Duration age, bool direct, Time now);
 
     void storeFailed(Time now);
--- a/src/include/balsamloft/peermessage.h
+++ b/src/include/balsamloft/peermessage.h
@@ -11,9 +11,9 @@
 
 std::string_view toString(MemberState state);
 
-/// Identity and state of an instance. Of two reports about an instance, the report with the
-/// higher incarnation is used; at equal incarnations, the report with the later
-/// value in MemberState does.
+/// Identity and state of an instance. Of two reports about an instance, the report with the higher
+/// incarnation is used; at equal incarnations, the report whose state comes later in MemberState is
+/// used.
 struct MemberStatus
 {
     std::string name;
@@ -24,7 +24,8 @@
 };
 
 /// State of an endpoint: it is shutting down, or a new process has replaced it (a higher
-/// generation). At equal generations \c leaving overrides, regardless of the order of arrival.
+/// generation). At equal generations, a status with \c leaving overrides one without it, regardless
+/// of the order of arrival.
 struct EndpointStatus
 {
     std::string name;
@@ -54,11 +55,12 @@
     Kind kind = Kind::Ping;
     MemberStatus from;
     std::uint64_t sequence = 0;
-    std::uint32_t knownMembers = 0; ///< members that the sender has; few: it needs the full list
+    std::uint32_t knownMembers =
+        0; ///< number of members that the sender knows; if low, it is sent the full list
     ConfigHead head; ///< the sender's current configuration version
     std::vector<MemberStatus> members;
     std::vector<EndpointStatus> endpoints;
-    std::vector<Demand> demand; ///< of the sender
+    std::vector<Demand> demand; ///< demand at the sender
     MemberStatus target; ///< PingRequest only: the member to ping
     std::uint64_t after = 0; ///< ConfigRequest only
     std::vector<std::string> changes; ///< ConfigChanges only, as JSON
--- a/src/include/balsamloft/peersocket.h
+++ b/src/include/balsamloft/peersocket.h
@@ -20,8 +20,8 @@
 std::optional<PeerMessage> decodePeerMessage(std::string_view bytes, Reason &reason);
 
 /// Sends and receives one-way messages. Keeps connections open only to the most recently used
-/// peers. Drops messages that cannot be queued at once, since the protocol resends or requests
-/// again whatever is lost.
+/// peers. Drops messages that cannot be queued at once, since the protocol sends or requests lost
+/// data again.
 class PeerSocket
 {
 public:
--- a/src/include/balsamloft/ratelimits.h
+++ b/src/include/balsamloft/ratelimits.h
@@ -20,8 +20,8 @@
     /// unused at instances that seldom send to the endpoint, but the bursts get larger, since
     /// all unused slots can be used at once.
     Duration slotLifetime {1'000'000};
-    /// Minimum time for which a limit applies after the last answer that announced it.
-    /// validityOf() extends it where many instances share the limit.
+    /// Minimum time for which a limit applies after the last answer that announced it. validityOf()
+    /// extends this time if many instances share the limit.
     Duration limitValidity {10'000'000};
     Duration probeInterval {1'000'000}; ///< time between requests sent after a limit has expired
 };
@@ -30,12 +30,12 @@
 /// per second from all instances together.
 ///
 /// Each second of the store's clock is divided into one slot for each request that the limit
-/// allows, and each slot belongs to one instance. All instances compute the same owner: slots
-/// are assigned round-robin, three of four to instances of the endpoint's own failure domain,
-/// which send most of its requests, and the fourth to those of other domains. The instances
-/// exchange no messages for this, and the limit also holds while some of them are down,
-/// partitioned or not listed, since none exceeds its own slots. With a token bucket that saves up
-/// one request at each instance, hundreds of instances could send at the same moment.
+/// allows, and each slot belongs to one instance. All instances compute the same owner: slots are
+/// assigned round-robin, three of four to instances of the endpoint's failure domain, which send
+/// most of its requests, and the fourth to instances of other domains. The instances exchange no
+/// messages for this, and the limit also holds while some of them are down, partitioned or not
+/// listed, since no instance uses the slots of another. Token buckets would not suffice: if each
+/// instance saved up one request, hundreds of instances could send at the same moment.
 class RateLimits
 {
 public:
--- a/src/include/balsamloft/retrybudget.h
+++ b/src/include/balsamloft/retrybudget.h
@@ -49,9 +49,9 @@
     double spentBefore = 0;
 };
 
-/// Bounds the retries in any time span of a given length. A token bucket with the same bound
-/// would grant its saved retries only once, and then only a share of the requests. The window
-/// grants the slack again in each time span, which an outage of several seconds requires.
+/// Bounds the retries in any time span of a given length. A token bucket with the same bound would
+/// grant its saved retries only once, and from then on only the retries earned by requests. The
+/// window grants the slack again in each time span, which an outage of several seconds requires.
 class RetryWindow
 {
 public:
@@ -61,8 +61,8 @@
 
     void requestStarted(Time now);
 
-    /// Counts one retry if one is left in addition to \a reserved, the share of the slack that
-    /// is kept for more important requests. Returns whether the retry was counted.
+    /// Counts one retry if at least one is left beyond \a reserved, the part of the slack that is
+    /// kept for more important requests. Returns whether the retry was counted.
     bool withdraw(Time now, double reserved = 0);
 
     void setSlack(double slack) { m_settings.slack = slack; }
--- a/src/include/balsamloft/routemap.h
+++ b/src/include/balsamloft/routemap.h
@@ -21,7 +21,8 @@
     Stream, ///< answered by a stream of events
 };
 
-/// A kind of accelerator. Its times are factors on those of the model's reference accelerator.
+/// A kind of accelerator. Its factors scale the times measured on the model's reference
+/// accelerator.
 struct AcceleratorKind
 {
     std::string name;
@@ -41,7 +42,7 @@
     double contextMsPer1kTokens = 0; ///< added to a step for each 1,000 context tokens
     double prefillTokensPerMs = 0; ///< over all layers at prefillFactor 1
     std::uint32_t tokensPerPass = 1; ///< decode steps in one pass through the engines
-    double loadSeconds = 0; ///< to load all layers
+    double loadSeconds = 0; ///< time to load all layers
     double activationBytes = 0; ///< sent from engine to engine for each token
     double linkBytesPerMs = 0; ///< bandwidth between two failure domains; 0: unknown
     std::uint32_t typicalPromptTokens = 0;
@@ -77,7 +78,7 @@
 struct RoutedService
 {
     std::string name;
-    std::uint32_t maxConnections = 0; ///< to one endpoint, from all instances together
+    std::uint32_t maxConnections = 0; ///< limit for one endpoint, over all instances
     std::optional<LayeredModel> model; ///< set if the endpoints are engines that hold layers
 };
 
--- a/src/libbalsamloft/claims.cpp
+++ b/src/libbalsamloft/claims.cpp
@@ -109,7 +109,7 @@
             continue;
         }
         // Two requests of this process can claim the same key. In one transaction the version
-        // checks of both claims would succeed, so the second claim waits for a later one.
+        // checks of both claims would succeed, so the second claim waits for a later transaction.
         const auto hasSameKey = [&](const RowCheck &check) {
             return check.key == it->second.rowKey;
         };
@@ -201,8 +201,8 @@
         else
             m_queue.push_front(owner);
     }
-    // Only this instance changes a row that it has claimed, so a conflicting resolution has
-    // already been written by an earlier transaction whose answer was lost.
+    // Only this instance changes a row that it has claimed. A conflict therefore means that an
+    // earlier transaction, whose answer was lost, has already written the resolution.
     for (Resolution &resolution : batch.resolutions) {
         if (!inConflict(resolution.rowKey))
             m_resolutions.push_front(std::move(resolution));
@@ -310,8 +310,9 @@
             m_claims.erase(it);
             break;
         }
-        // A write with unknown outcome may still take effect later. Claiming again is safe:
-        // it would conflict, and the row would then contain this claim's nonce.
+        // A write with unknown outcome may still take effect later. Claiming again is safe: if the
+        // earlier write takes effect first, the new write conflicts, and the row contains this
+        // claim's nonce.
         claim.version = 0;
         m_queue.push_front(owner);
         break;
@@ -328,8 +329,8 @@
     const bool abandoned = claim.abandoned;
     m_won[owner] = std::move(claim);
     m_claims.erase(owner);
-    // The request has been refused as not executed meanwhile: frees the key for the
-    // caller's retry.
+    // Meanwhile the caller was told that its request was not executed, so the key is freed for a
+    // retry.
     if (abandoned)
         return resolve(owner, ClaimOutcome::NotExecuted, {}, now, actions);
     actions.push_back(ClaimDecided {owner, {ClaimAnswer::Kind::Won, {}}});
--- a/src/libbalsamloft/claims_test.cpp
+++ b/src/libbalsamloft/claims_test.cpp
@@ -43,8 +43,8 @@
           "[claims][failure]")
 {
     // Instance "a" releases a key. The write takes effect, but its answer is lost. Instance "b"
-    // claims the key and executes the request. Then instance "a" repeats its write. If the row
-    // still met the version check of that write, the key would be freed, and the request could
+    // claims the key and executes the request. Then instance "a" repeats its write. If the row then
+    // still had the version that this write expects, the key would be freed, and the request could
     // be executed a second time.
     TableModel tables;
     ClaimManager a({.instance = "a"});
@@ -106,15 +106,15 @@
         actions = std::move(next);
     }
     CHECK(decided == 21);
-    CHECK(manager.transactions() == 3); // 1, then 10, then 10
+    CHECK(manager.transactions() == 3); // with 1, 10 and 10 claims
 }
 
 TEST_CASE("the number of unwritten resolutions is bounded while the table is down",
           "[claims][failure]")
 {
     // Guards against memory that grows during a long outage of the table. The requests have been
-    // answered already. A retry with one of the oldest keys is refused with an unknown outcome,
-    // since its row stays claimed.
+    // answered already. The oldest outcomes are dropped. A retry with the key of such a request is
+    // refused with an unknown outcome, since the key's row stays claimed.
     ClaimManager manager({.instance = "a", .batchSize = 1, .maxPendingResolutions = 5});
     TableModel tables;
     ClaimActions actions;
--- a/src/libbalsamloft/configparse.cpp
+++ b/src/libbalsamloft/configparse.cpp
@@ -370,8 +370,8 @@
         if (!endpoint.accelerator.empty() && !m_config.accelerator(endpoint.accelerator))
             m_problems.push_back({entryPath + ".accelerator", endpoint.accelerator,
                                   "must be one of the inventory's accelerators"});
-        // The inventory may be loaded before the rules. Its models are then checked once the
-        // rules are loaded.
+        // The inventory may be loaded before the rules. The models that it refers to are then
+        // checked once the rules are loaded.
         if (endpoint.model.empty() || m_config.m_models.empty())
             continue;
         const Model *model = m_config.model(endpoint.model);
@@ -440,8 +440,8 @@
 {
     for (PlacementDecision &decision : m_placements) {
         const auto it = m_config.m_index.find("e/" + decision.engine);
-        // The inventory takes precedence: ignore placement for engines that the operators
-        // have removed or assigned a model to, rather than reject their change.
+        // The inventory takes precedence. If operators have removed an engine or assigned a model
+        // to it, ignore the engine's placement instead of rejecting the operators' change.
         if (it == m_config.m_index.end() || !m_config.m_endpoints[it->second].placeable)
             continue;
         const Model *model = m_config.model(decision.model);
--- a/src/libbalsamloft/control_test.cpp
+++ b/src/libbalsamloft/control_test.cpp
@@ -161,8 +161,8 @@
 TEST_CASE("a new instance in a platform outage installs the highest version of its peers",
           "[control][failure]")
 {
-    // The new instance first reaches only peers with an old version, installs it, and updates
-    // once it reaches peers with a newer one. Its version never decreases.
+    // The new instance first reaches only peers with an old version and installs that version. It
+    // updates once it reaches peers with a newer version. Its version never decreases.
     ControlHarness harness = harnessAtVersion1(12);
     // Half of the instances do not receive version 2 yet.
     for (std::size_t i = 6; i < 12; ++i) {
--- a/src/libbalsamloft/fairqueue.cpp
+++ b/src/libbalsamloft/fairqueue.cpp
@@ -9,8 +9,8 @@
     PriorityClass &queueClass = m_classes[static_cast<std::size_t>(item.priority)];
     TeamQueue &team = queueClass.teams[item.team];
     if (team.byDeadline.empty()) {
-        // A team that was idle starts at the virtual time of the class, since it must not
-        // use up the share of its idle time at once.
+        // A team that was idle starts at the virtual time of the class, so that it cannot use at
+        // once the share that it left unused while idle.
         team.share = item.share;
         team.virtualTime = std::max(team.virtualTime, queueClass.virtualTime);
         queueClass.active.emplace(team.virtualTime, item.team);
--- a/src/libbalsamloft/instancelist.cpp
+++ b/src/libbalsamloft/instancelist.cpp
@@ -24,8 +24,8 @@
         m_outageEndMs = storeMs;
     }
     m_lastUpdateMs = std::max(m_lastUpdateMs, storeMs);
-    // Until live instances had time to write their rows again, extend the lifetime by the
-    // duration of the outage.
+    // After an outage, the lifetime is extended by the duration of the outage until live instances
+    // have had time to write their rows again.
     const bool afterOutage = m_lastUpdateMs - m_outageEndMs < RowLifetimeMs;
     const std::int64_t lifetimeMs = RowLifetimeMs + (afterOutage ? m_outageMs : 0);
     std::vector<PeerInstance> alive;
--- a/src/libbalsamloft/lease_test.cpp
+++ b/src/libbalsamloft/lease_test.cpp
@@ -119,7 +119,7 @@
     int secondsWithoutHolder = 0;
     for (int i = 0; i < 80; ++i) {
         a.partitioned = i >= 20 && i < 50;
-        b.partitioned = i >= 15 && i < 60; // reconnects later, and has last read an older row
+        b.partitioned = i >= 15 && i < 60; // b reconnects after a; the row it read last is older
         a.tick(seconds(i));
         b.tick(seconds(i));
         CHECK_FALSE((a.manager.holds(seconds(i)) && b.manager.holds(seconds(i))));
@@ -189,10 +189,10 @@
 TEST_CASE("a new holder waits for old orders to expire at engines without fencing checks",
           "[lease][failure]")
 {
-    // Engines that check the fencing token get orders at once. An engine without this check
-    // could execute an order of the previous holder that is still in transit after the new
-    // order. It gets no order until such orders have expired, and then repeated orders until it
-    // reports the wanted state.
+    // Engines that check the fencing token get orders at once. An engine without this check could
+    // execute the new order and then an order of the previous holder that was still in transit.
+    // Such an engine gets no order until the previous holder's orders have expired, and then
+    // repeated orders until the engine reports the wanted state.
     OrderManager manager;
     manager.setWanted({"checks", "m", "1", {0, 4}, "r"}, true);
     manager.setWanted({"ignores", "m", "1", {0, 4}, "r"}, false);
--- a/src/libbalsamloft/limits_test.cpp
+++ b/src/libbalsamloft/limits_test.cpp
@@ -205,9 +205,9 @@
     CHECK(granted == Approx(105).margin(1));
 }
 
-// Requests fail for a minute. In any 10 s there are at most as many retries as the share of
-// the requests and the slack. The slack is available again in each window; an empty token
-// bucket would refuse the later retries.
+// Requests fail for a minute. In any 10 s the number of retries is at most the granted share of the
+// requests plus the slack. The slack is available again in each window; an empty token bucket would
+// refuse the later retries.
 TEST_CASE("retries are bounded in any time span of the window's length", "[limits]")
 {
     RetryWindow budget({.window = std::chrono::seconds(10), .perRequest = 0.1, .slack = 20});
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -325,8 +325,8 @@
 
 bool Membership::attachSuspicion(const MemberStatus &from, PeerMessage &reply) const
 {
-    // The sender is alive, but its message does not override a suspicion at the same
-    // incarnation. It must receive the suspicion to refute it with a higher incarnation.
+    // The sender is alive, but its message does not override a suspicion at the same incarnation.
+    // The sender must be told of the suspicion, so that it can refute it with a higher incarnation.
     // Otherwise two sides of a healed partition would keep listing each other as dead.
     const auto it = m_members.find(from.name);
     if (it == m_members.end() || it->second.status.incarnation < from.incarnation)
--- a/src/libbalsamloft/peerdirectory.cpp
+++ b/src/libbalsamloft/peerdirectory.cpp
@@ -27,8 +27,8 @@
 /// the store and has not detected this yet.
 constexpr Duration MaxAge {1'250'000};
 
-/// For this time after a stale or empty answer, an instance without updates does not call the
-/// store, since the store probably fails for the sources as well.
+/// Time after a stale or empty answer during which an instance without updates does not call the
+/// store. Such an answer suggests that the store fails for the sources as well.
 constexpr Duration RecentAnswer {1'000'000};
 
 /// Pauses of a reader after the store failed, with jitter.
@@ -181,7 +181,7 @@
             return {ReadSource::Kind::Instance, each};
     if (earlier.size() < ReadersPerDomain && storeUsable(now))
         return {ReadSource::Kind::Store, nullptr};
-    // The first reader reads from the second reader of its domain while the store fails.
+    // This instance is the first reader and the store fails: read from the second reader.
     if (earlier.empty())
         if (const PeerInstance *other = nextResponsive(now); other && isUsable(*other, now))
             return {ReadSource::Kind::Instance, other};
--- a/src/libbalsamloft/propagation_test.cpp
+++ b/src/libbalsamloft/propagation_test.cpp
@@ -41,8 +41,8 @@
     return text;
 }
 
-/// A fleet that follows a configuration, with one fast link in each domain and slow links at
-/// all other instances.
+/// Returns the settings of a fleet that follows a configuration. One instance in each domain has a
+/// fast link; all others have slow links.
 PropagationSettings configuredFleet(std::size_t instances, std::string row)
 {
     PropagationSettings settings;
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -308,8 +308,9 @@
             RC_ASSERT(expectedText.starts_with(record.text()));
             if (record.answer)
                 RC_ASSERT(record.answer->body == expectedText);
-            // A restart clears an engine's log, so the logs may lack attempts, but never contain
-            // additional ones.
+            // A restart clears an engine's log, so the logs may lack attempts that were made. They
+            // never list attempts that were not made, so a request refused as not executed must
+            // have none.
             if (record.refusal && record.refusal->ran == Executed::No)
                 RC_ASSERT(attempts[id].empty());
             if (record.request.nonIdempotent)
--- a/src/libbalsamloft/ratelimits.cpp
+++ b/src/libbalsamloft/ratelimits.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Each slot whose number is a multiple of this belongs to an instance of another failure
-/// domain.
+/// Every slot whose number is a multiple of this constant belongs to an instance outside the
+/// endpoint's failure domain.
 constexpr std::int64_t OtherDomainsInterval = 4;
 
 /// Range to which announced limits are clamped.
@@ -51,8 +51,9 @@
         assignSlots(limit, now);
 }
 
-/// Updates the rotations of \a limit. Slots that began before \a now are excluded: the old
-/// rotations assigned them, so a slot that this instance has already used could appear unused.
+/// Updates the rotations of \a limit. Slots that began before \a now are excluded: they were
+/// assigned by the old rotations, so under the new ones a slot that this instance has already used
+/// could appear unused.
 void RateLimits::assignSlots(Limit &limit, Time now) const
 {
     limit.endpointDomain = rotationOf(limit.domain, true);
--- a/src/libbalsamloft/ratelimits_test.cpp
+++ b/src/libbalsamloft/ratelimits_test.cpp
@@ -17,7 +17,7 @@
 using std::chrono::seconds;
 
 constexpr Duration Step {20'000};
-constexpr Duration LimitPropagationTime {3'000'000}; ///< for a limit to reach all instances
+constexpr Duration LimitPropagationTime {3'000'000}; ///< until a limit has reached all instances
 constexpr Duration Window {4'000'000}; ///< time span in which requests are counted
 constexpr Duration LimitGracePeriod {500'000}; ///< grace period after receiving a limit
 
@@ -28,7 +28,7 @@
     std::size_t endpoints = 5; ///< the first one announces a limit
     double requestsPerSecond = 120; ///< of all callers
     RequestKind kind = RequestKind::Safe;
-    Duration clockError {}; ///< maximum, for each instance
+    Duration clockError {}; ///< maximum error of an instance's clock
     std::uint64_t seed = 1;
 };
 
@@ -46,11 +46,11 @@
     /// Crashes the instance. It stays in the list of instances for \a listDelay.
     void crash(std::size_t instance, Duration listDelay);
 
-    /// Starts a crashed instance again. It has the list of instances at once, and the others
-    /// get it in their lists after \a listDelay.
+    /// Starts a crashed instance again. It has the list of instances at once; the lists of the
+    /// others include it after \a listDelay.
     void start(std::size_t instance, Duration listDelay);
 
-    /// Stops the updates of the list of instances in this domain.
+    /// Stops the updates of the list of instances in the domain number \a domain.
     void partition(std::size_t domain) { m_partitionedDomain = "d" + std::to_string(domain); }
 
     Time now() const { return m_now; }
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -338,8 +338,8 @@
     CHECK(readers.size() == 2);
 }
 
-// The store refuses the first reader, but serves all others. The first reader gets its updates
-// from the second one, and its followers keep reading from the first.
+// The store refuses the first reader, but serves all others. The first reader then gets its updates
+// from the second reader, and the followers of the first reader keep reading from it.
 TEST_CASE("the second reader takes over if the store refuses the first")
 {
     const std::vector<PeerInstance> instances = twoDomains(8);
@@ -485,7 +485,7 @@
         copy.replaceAll({{"a", "ready", 5, false}, {"b", "ready", 6, false}}, 11);
     REQUIRE(copy.rows().size() == 1);
     CHECK(copy.rows().front().key == "b");
-    // A newer write restores the row: its entry had expired although the endpoint is alive.
+    // A newer write restores the row, which had expired although the endpoint is alive.
     CHECK(copy.applyChanges({{"a", "ready", 14, false}}, 14).size() == 1);
     CHECK(copy.rows().size() == 2);
 }
--- a/src/libbalsamloft/routeradmission.cpp
+++ b/src/libbalsamloft/routeradmission.cpp
@@ -284,8 +284,8 @@
         Flight &flight = *find(item->request);
         RouteQuery query = routeQuery(target, flight, now);
         if (!m_chooser.choose(target.table, m_loads, query, now, m_chain)) {
-            // If slots are free, but none that meets this deadline, the request is refused
-            // now, so that it does not block the requests behind it until it expires.
+            // If a chain is free, but none can meet this deadline, the request is refused now.
+            // Otherwise it would block the requests behind it until its deadline.
             query.timeLeft = Duration::max();
             if (!m_chooser.choose(target.table, m_loads, query, now, m_chain))
                 return;
@@ -315,7 +315,8 @@
 {
     Flight *flight = find(id);
     if (!flight || flight->state != FlightState::Claiming) {
-        // The request was refused meanwhile without being sent: frees the key if it was won.
+        // Meanwhile the request was refused without being sent, so the key is freed if the claim
+        // was won.
         if (answer.kind == ClaimAnswer::Kind::Won)
             actions.push_back(ResolveClaim {id, ClaimOutcome::NotExecuted, {}});
         return;
--- a/src/libbalsamloft/routerfailures.cpp
+++ b/src/libbalsamloft/routerfailures.cpp
@@ -39,8 +39,8 @@
 void Router::Impl::attemptFailed(Flight &flight, FailureKind kind, Time now, Actions &actions)
 {
     const EndpointId endpoint = flight.chain[flight.stage].endpoint;
-    // If the first step of an attempt was provably not executed, no part of the attempt
-    // was. Later steps follow steps that were executed.
+    // If the first step of an attempt was provably not executed, no part of the attempt was. Any
+    // later step follows a step that was executed.
     const bool nothingExecuted = provesNotExecuted(kind) && flight.prefillPass && flight.stage == 0;
     if (nothingExecuted) {
         flight.attemptMayHaveExecuted = false;
@@ -82,8 +82,8 @@
 {
     ++m_counters.unexecutedAttempts;
     if (kind == FailureKind::NotSent && ++flight.failedConnects > 1) {
-        // No remaining endpoint accepts connections: retrying without a pause would loop
-        // until the deadline.
+        // At least two attempts were not sent, so possibly no endpoint accepts connections.
+        // Retrying without a pause could loop until the deadline.
         flight.state = FlightState::Backoff;
         if (flight.failedConnects >= m_settings.maxAttempts)
             return refuse(flight, RefusalCode::NoEndpoint, "no endpoint accepts connections",
@@ -179,9 +179,9 @@
     if (alive)
         m_loads.setReportedLeaving(endpoint, leaving);
     if (alive) {
-        // The endpoint answers on a new connection, so the unanswered one is broken: a
-        // device on the network path may have dropped its state. Other pooled connections
-        // may be broken in the same way.
+        // The endpoint answers on a new connection, so the connection on which it did not answer is
+        // broken: a device on the network path may have dropped that connection's state. Other
+        // pooled connections may be broken in the same way.
         m_loads.probed(endpoint, true, now);
         actions.push_back(CloseConnections {endpoint});
         return;
