--- a/src/include/balsamloft/claims.h
+++ b/src/include/balsamloft/claims.h
@@ -106,8 +106,7 @@
         std::uint32_t attempts = 0;
         bool abandoned = false; ///< answered as Unavailable; its row, if written, has to be freed
         bool rowMayExist = false; ///< a write was sent whose outcome is unknown
-        std::uint64_t version =
-            0; ///< row version that the write expects; once won, the version that it wrote
+        std::uint64_t version = 0; ///< row version that the write expects, or wrote if won
     };
     /// The value to write to the row of a claim whose request has finished.
     struct Resolution
--- a/src/include/balsamloft/entryprotocol.h
+++ b/src/include/balsamloft/entryprotocol.h
@@ -74,8 +74,7 @@
     double usedKv = 0; ///< KV memory that cannot be evicted, in tokens times layers
     std::uint32_t running = 0; ///< number of running requests
     std::uint32_t queued = 0; ///< number of waiting requests
-    std::vector<std::string>
-        stalledAddresses; ///< addresses of engines that do not answer this engine
+    std::vector<std::string> stalledAddresses; ///< engines that do not answer this engine
 
     /// Whether the report comes from a process other than \a endpoint, for example after a restart.
     bool isFromOtherProcess(const FleetEndpoint &endpoint) const
--- a/src/include/balsamloft/httpserver.h
+++ b/src/include/balsamloft/httpserver.h
@@ -26,8 +26,7 @@
     std::uint64_t maxBodyBytes = 4 * 1024 * 1024;
     Duration requestTimeout {15'000'000}; ///< to receive a complete request, idle time included
     Duration writeTimeout {15'000'000}; ///< for each write to the caller
-    std::size_t maxBufferedBytes =
-        4 * 1024 * 1024; ///< unsent data of a stream whose caller reads slowly
+    std::size_t maxBufferedBytes = 4 * 1024 * 1024; ///< unsent data of a stream to a slow caller
     std::size_t maxConnections = 10'000;
 };
 
--- a/src/include/balsamloft/peermessage.h
+++ b/src/include/balsamloft/peermessage.h
@@ -55,8 +55,7 @@
     Kind kind = Kind::Ping;
     MemberStatus from;
     std::uint64_t sequence = 0;
-    std::uint32_t knownMembers =
-        0; ///< number of members that the sender knows; if low, it is sent the full list
+    std::uint32_t knownMembers = 0; ///< members the sender knows; if few, it is sent the full list
     ConfigHead head; ///< the sender's current configuration version
     std::vector<MemberStatus> members;
     std::vector<EndpointStatus> endpoints;
--- a/src/include/balsamloft/routing.h
+++ b/src/include/balsamloft/routing.h
@@ -40,8 +40,7 @@
     double affinityCostTolerance = 3; ///< relative extra cost accepted for an owner with hit rate 1
     Duration defaultStepTime {30'000}; ///< assumed until an endpoint reports its step time
     Duration prefillPerToken {200}; ///< at an endpoint of speed 1, over all layers
-    std::uint32_t alertOvercommit =
-        2; ///< number of alerts that a full endpoint still gets; it runs them first
+    std::uint32_t alertOvercommit = 2; ///< alerts that a full endpoint still accepts and runs first
 };
 
 /// Requirements of one request on its chain.
