--- a/src/include/balsamloft/fairqueue.h
+++ b/src/include/balsamloft/fairqueue.h
@@ -43,7 +43,8 @@
     /// Removes \a request. Returns false if it was not in the queue.
     bool remove(RequestId request);
 
-    /// Removes the first request and charges its cost to its team.
+    /// Removes the first request. Charges its cost to its team, unless the request resumes after a
+    /// failure.
     void pop();
 
     // Queries
@@ -56,7 +57,7 @@
     /// Estimates the cost of the requests that would be served before a new request of \a team with
     /// \a priority. The estimate adds up the cost of all requests of higher classes and, for this
     /// class, the cost of the team's waiting requests divided by the team's share among the waiting
-    /// teams.
+    /// teams, but at most the cost of the whole class.
     double costAhead(Priority priority, std::string_view team, double share) const;
 
 private:
--- a/src/include/balsamloft/peerdirectory.h
+++ b/src/include/balsamloft/peerdirectory.h
@@ -91,7 +91,8 @@
     /// The first readers of the other domains.
     std::vector<PeerInstance> remoteReaders(Time now) const;
 
-    /// Number of listed instances in this instance's domain and in all domains; at least 1.
+    /// Return the number of listed instances in this instance's domain or in all domains, at least
+    /// 1.
     std::size_t instancesInDomain() const;
     std::size_t instanceCount() const;
 
--- a/src/include/balsamloft/retrybudget.h
+++ b/src/include/balsamloft/retrybudget.h
@@ -61,8 +61,8 @@
 
     void requestStarted(Time now);
 
-    /// Counts one retry if at least one is left beyond \a reserved, the part of the slack that is
-    /// kept for more important requests. Returns whether the retry was counted.
+    /// Counts one retry if at least one is left beyond the fraction \a reserved of the slack, which
+    /// is kept for more important requests. Returns whether the retry was counted.
     bool withdraw(Time now, double reserved = 0);
 
     void setSlack(double slack) { m_settings.slack = slack; }
@@ -70,7 +70,7 @@
 
     // Queries
 
-    /// Whether withdraw() would succeed.
+    /// Whether withdraw() without a reserve would succeed.
     bool canWithdraw(Time now) const { return balance(now) >= 1; }
 
 private:
--- a/src/include/balsamloft/router.h
+++ b/src/include/balsamloft/router.h
@@ -103,9 +103,9 @@
 
     std::optional<Time> nextWakeup() const;
 
-    /// Whether a step or call may still be sent. The I/O layer checks this right before it
-    /// writes: if the process was paused after the decision, the attempt may have been abandoned
-    /// or its deadline may have passed.
+    /// Whether a step or call may still be sent. The I/O layer checks this right before it writes:
+    /// if the process was paused after the decision, the attempt may have been abandoned or the
+    /// request's deadline may have passed.
     bool maySend(RequestId request, std::uint32_t attempt, Time now) const;
 
     const LoadView &loads() const;
--- a/src/libbalsamloft/configmanager.cpp
+++ b/src/libbalsamloft/configmanager.cpp
@@ -97,7 +97,7 @@
         }
         return;
     }
-    // Each commit writes the row once, so the row's version is the configuration version.
+    // Each commit writes the head's row once, so the row's version is the configuration version.
     const std::uint64_t newest = outcome.kind == ReadOutcome::Kind::Found ? outcome.row.version : 0;
     if (newest > m_head.version)
         return fetchFrom(newest, actions);
--- a/src/libbalsamloft/configproposals.cpp
+++ b/src/libbalsamloft/configproposals.cpp
@@ -169,7 +169,9 @@
         accepted.edits = change.edits;
         return decide(std::move(accepted), now, actions);
     }
-    // On a conflict or a lost answer, read the head and then search the history for the id.
+    // After a conflict or a lost answer, the head is read and the history is searched for the id,
+    // unless the maximum number of rebases is exceeded. If nothing was committed, the proposal ends
+    // here.
     pending.uncertain = pending.uncertain || outcome.kind == TransactionOutcome::Kind::Unknown;
     if (++pending.attempts > m_settings.maxRebases
         || outcome.kind == TransactionOutcome::Kind::NotCommitted) {
--- a/src/libbalsamloft/membership.cpp
+++ b/src/libbalsamloft/membership.cpp
@@ -375,8 +375,8 @@
         return false;
     const auto it = m_members.find(status.name);
     if (it == m_members.end()) {
-        // Ignore dead members that are not listed: otherwise instances would send their status
-        // to each other forever.
+        // Ignore dead members that this instance does not know: otherwise instances would send the
+        // status of these members to each other forever.
         if (status.state == MemberState::Dead)
             return false;
         Member &member = m_members[status.name];
--- a/src/libbalsamloft/replicatedstate_test.cpp
+++ b/src/libbalsamloft/replicatedstate_test.cpp
@@ -357,8 +357,8 @@
 }
 
 // Guards against a domain in which all instances query the readers of other domains when the
-// domain's own readers cannot read the store. Only these two readers may query other domains;
-// the other instances wait for them.
+// readers of the domain cannot read the store. Only these two readers may query other domains; the
+// other instances wait for them.
 TEST_CASE("a domain that cannot read the store is updated by readers of other domains")
 {
     const std::vector<PeerInstance> instances = twoDomains(300);
--- a/src/libbalsamloft/routerattempts.cpp
+++ b/src/libbalsamloft/routerattempts.cpp
@@ -140,8 +140,8 @@
                          && flight->attempt == awaited.attempt
                          && flight->tokens.size() == awaited.position
                          && flight->chain[flight->stage].layers == awaited.layers;
-    // An abandoned attempt may still answer. Its token would appear in the stream twice
-    // or at the wrong position.
+    // An endpoint may still answer a step of an abandoned attempt. The token would appear in the
+    // stream twice or at the wrong position.
     if (!current) {
         ++m_counters.lateAnswers;
         return;
--- a/src/libbalsamloft/routerimpl.h
+++ b/src/libbalsamloft/routerimpl.h
@@ -29,12 +29,12 @@
     Request request;
     FlightState state = FlightState::Queued;
     bool claimed = false; ///< its idempotency key is claimed
-    bool mayHaveExecuted = false; ///< an endpoint may have executed a part of it
+    bool mayHaveExecuted = false; ///< an endpoint may have executed a part of the request
     bool attemptMayHaveExecuted = false; ///< an endpoint may have executed a part of the attempt
     bool prefillPass = false;
     std::uint32_t attempt = 0;
     std::uint32_t retries = 0; ///< attempts that were charged to the retry budget
-    std::uint32_t failedConnects = 0; ///< attempts at which no connection was accepted
+    std::uint32_t failedConnects = 0; ///< attempts that failed as FailureKind::NotSent
     std::uint32_t silentPeriods = 0; ///< timeouts since the last answer
     std::size_t stage = 0;
     Chain chain;
