--- a/src/include/balsamloft/lease.h
+++ b/src/include/balsamloft/lease.h
@@ -61,8 +61,8 @@
     /// order, because the lease may have expired while the process was suspended.
     bool holds(Time now) const { return m_holding && now < m_heldUntil; }
 
-    /// The fencing token, which increases with each change of the holder. Valid while holds()
-    /// returns true.
+    /// The fencing token, which increases each time that a process acquires the lease. Valid while
+    /// holds() returns true.
     std::uint64_t fencing() const { return m_fencing; }
     Time acquiredAt() const { return m_acquiredAt; }
     Time nextWakeup() const { return m_nextTick; }
--- a/src/include/balsamloft/storeuse.h
+++ b/src/include/balsamloft/storeuse.h
@@ -14,7 +14,7 @@
     Follow, ///< waits for changes of a table
     ReadSnapshot,
     Lease,
-    OwnRow, ///< writes rows of this instance, crashes or trials
+    OwnRow, ///< writes the row of this instance, or rows about crashes or trials
 };
 
 /// Names in metrics and log lines, in the order of StoreUse.
--- a/src/include/balsamloft/teamlimits.h
+++ b/src/include/balsamloft/teamlimits.h
@@ -26,7 +26,8 @@
     void setDefaultFraction(double fraction) { m_defaultFraction = fraction; }
     void setFractions(LimitFractions fractions) { m_fractions = std::move(fractions); }
 
-    /// Admits and counts a request of \a team if its limits allow it.
+    /// Admits a request of \a team if the team's limits allow it. Refused requests count towards
+    /// demand() too.
     AdmissionResult admit(const Team &team, Time now);
 
     /// Records the end of a request that admit() admitted.
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -35,7 +35,8 @@
         perform(manager, actions);
     }
 
-    /// Advances the time by 100 ms and answers all pending actions with the fault \a fault.
+    /// Advances the time by 100 ms and answers all pending actions. If \a fault modulo 4 is 1, the
+    /// actions do not reach the table; if it is 2, their answers are lost.
     void step(int fault)
     {
         m_now += std::chrono::milliseconds(100);
@@ -153,7 +154,7 @@
         Time now(std::chrono::seconds(10));
         for (const int draw : schedule) {
             now += std::chrono::milliseconds(500 + draw * 20);
-            // Processes whose bit is set are paused in this step.
+            // Processes whose bit is set in `draw` are paused in this step.
             for (std::size_t i = 0; i < managers.size(); ++i) {
                 if ((draw >> i & 1) != 0)
                     continue;
--- a/src/libbalsamloft/ratelimits_test.cpp
+++ b/src/libbalsamloft/ratelimits_test.cpp
@@ -19,8 +19,7 @@
 constexpr Duration Step {20'000};
 constexpr Duration LimitPropagationTime {3'000'000}; ///< until a limit has reached all instances
 constexpr Duration Window {4'000'000}; ///< time span in which requests are counted
-constexpr Duration LimitGracePeriod {
-    500'000}; ///< requests in this time after an instance received a limit are not counted
+constexpr Duration LimitGracePeriod {500'000}; ///< time after a limit arrives that is not counted
 
 struct LimitSimulationSettings
 {
--- a/src/libbalsamloft/router_test.cpp
+++ b/src/libbalsamloft/router_test.cpp
@@ -176,9 +176,9 @@
 
 TEST_CASE("a non-idempotent request is not retried after its engine fails", "[router][failure]")
 {
-    // The engine crashes after the request was sent. It may have executed the request, so
-    // another engine could execute it a second time. The caller gets an error with the
-    // outcome unknown.
+    // All engines crash after the request was sent, so its chain fails whichever engines it
+    // consists of. These may have executed the request, so a retry could execute it a second time.
+    // The caller gets an error with the outcome unknown.
     auto harness = makeHarness(threeStageEngines(2));
     Request request = completion(harness, "load feeder bank 4", 40);
     request.nonIdempotent = true;
@@ -199,8 +199,8 @@
 TEST_CASE("a request is refused as not executed if no engine accepts connections",
           "[router][failure]")
 {
-    // No engine accepts connections. The request is refused as not executed after a few
-    // attempts, long before its deadline.
+    // The only engine of the first stage does not accept connections. The request is refused as not
+    // executed after a few attempts, long before its deadline.
     auto harness = makeHarness(threeStageEngines(1));
     harness.kill(0);
     Request request = completion(harness, "x");
@@ -294,9 +294,9 @@
 
 TEST_CASE("requests with the same key at two instances are executed once", "[router][claims]")
 {
-    // The same key reaches two instances at the same time. The conditional insert into
-    // the table decides which of them may send the request. The other caller is refused as
-    // a duplicate in progress, and later callers get the stored answer.
+    // The same key reaches two instances at the same time. The conditional insert into the table
+    // decides which instance may send the request. The other caller is refused as a duplicate in
+    // progress, and later callers get the stored answer.
     auto harness = makeHarness(threeStageEngines(2), {.routers = 2});
     Request request = completion(harness, "checklist 9");
     request.key = "k9";
