--- a/src/balsamloftd/trafficworker.h
+++ b/src/balsamloftd/trafficworker.h
@@ -19,8 +19,8 @@
 
 namespace balsamloft {
 
-/// Interface of the control thread for the traffic threads. Safe to call from any thread; results
-/// are returned as messages to the worker.
+/// Interface of the control thread for the traffic threads. The functions may be called from any
+/// thread; results are sent to the worker as messages.
 class ControlLink
 {
 public:
--- a/src/entry/connectionpool.h
+++ b/src/entry/connectionpool.h
@@ -58,13 +58,13 @@
     std::map<std::string, std::vector<PooledConnectionPtr>> m_idle;
 };
 
-/// Callbacks of an Exchange. Each of them may cancel it.
+/// Callbacks of an Exchange. Each callback may cancel the exchange.
 class ExchangeHandler
 {
 public:
     virtual ~ExchangeHandler() = default;
 
-    /// Called right before the request is sent. \return whether it may be sent.
+    /// Called right before the request is sent. \return whether the request may be sent.
     virtual bool maySend() = 0;
     virtual void exchangeFailed(AttemptFailure failure) = 0;
 
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -1,6 +1,6 @@
 /// \file
-/// The control thread: replicates configuration, endpoints and instances, polls engines, and
-/// places model layers while this instance holds the placement lease.
+/// The control thread: replicates the tables of the store, polls engines and places model layers.
+/// Orders that release layers require the placement lease.
 
 #pragma once
 
@@ -69,7 +69,7 @@
     void stop(std::function<void()> done);
 
 private:
-    /// The last answer of an engine to a poll.
+    /// State of the polls of an engine, and its last answer.
     struct PolledEngine
     {
         EngineState state;
@@ -167,7 +167,7 @@
     /// Last logged coverage gaps of this instance's domain and of all domains, by service. Empty
     /// until the first log line, which is written even if there are no gaps.
     std::map<std::string, std::optional<std::pair<std::string, std::string>>> m_loggedGaps;
-    /// Versions of invalid rows of the endpoints, by key.
+    /// Versions of the invalid endpoint rows that were already counted and logged, by key.
     std::map<std::string, std::uint64_t, std::less<>> m_skippedRows;
     TrialPermits m_trialPermits;
     CrashUpdate m_unpublishedCrashes; ///< kept until the store's clock is known
--- a/src/entry/controlcrashes.cpp
+++ b/src/entry/controlcrashes.cpp
@@ -24,7 +24,7 @@
     return record.digest + "/" + record.endpoint;
 }
 
-/// Returns nothing if the row was not written by an instance.
+/// Parses the row of a trial. Returns nothing if the row was not written by an instance.
 std::optional<TrialRow> parseTrial(const StoreRow &row)
 {
     const auto object = parseRow(row);
@@ -57,7 +57,7 @@
     return json::serialize(json::object {{"at_ms", atMs}, {"by", by}});
 }
 
-/// The crash that a row records, with its time on the store's clock.
+/// Returns the crash that the row records, with the time of the crash on the store's clock.
 std::optional<CrashRecord> parseCrash(const StoreRow &row)
 {
     const std::size_t slash = row.key.find('/');
--- a/src/entry/peerserver.h
+++ b/src/entry/peerserver.h
@@ -49,9 +49,9 @@
     bool fromStore = false; ///< last read from the store, without a failure since
 };
 
-/// Answers update queries, immediately or as soon as there are changes. Uses HTTP with a
-/// protobuf message as the body: a query has exactly one answer and a time limit, and ends when
-/// the peer disconnects.
+/// Answers update queries, immediately or as soon as there are changes. HTTP with a protobuf
+/// message as the body is used because a query has exactly one answer and a time limit, and ends
+/// when the peer disconnects.
 class PeerServer
 {
 public:
--- a/src/entry/tablesource.h
+++ b/src/entry/tablesource.h
@@ -40,8 +40,8 @@
 
     bool isStore() const { return peer().empty(); }
 
-    /// Reads a page of rows from the key \a from on. Another instance that has no data yet
-    /// waits up to \a wait for it.
+    /// Reads a page of rows from the key \a from on. Another instance that has no data yet delays
+    /// its answer by up to \a wait until it has data.
     virtual void read(const std::string &from, Duration wait, Callback callback) = 0;
 
     /// Reads the changes after the version \a after, as soon as there are any or after \a wait.
--- a/src/entry/trafficserver.h
+++ b/src/entry/trafficserver.h
@@ -29,7 +29,7 @@
     /// \return whether listening succeeded; otherwise \a reason is set.
     bool listen(Reason &reason);
 
-    // Commands, on the traffic thread
+    // Commands, called on the traffic thread
 
     void setTable(RouteMapPtr table);
     void setFleet(FleetPtr fleet);
@@ -73,7 +73,7 @@
     /// Executes \a actions of the relay.
     void run(RelayActions actions);
 
-    // For sessions
+    // Called by sessions
 
     const RouteMapPtr &table() const { return m_table; }
     const EntryProtocol &protocol() const { return m_protocol; }
@@ -111,8 +111,8 @@
     bool isPlainService(const std::string &id) const;
     /// Records whether a plain service accepted a connection.
     void connectionChecked(const std::string &endpoint, Time sentAt, const CallOutcome &outcome);
-    /// Queries the state of an engine. For a plain service, only checks that it accepts a
-    /// connection.
+    /// Queries the state of an engine. For a plain service, only checks whether the service accepts
+    /// a connection.
     void queryEngine(const QueryEngine &query);
 
     void engineAnswered(const std::string &endpoint, Time sentAt, const CallOutcome &outcome);
