--- a/src/balsamloftd/trafficworker.h
+++ b/src/balsamloftd/trafficworker.h
@@ -19,8 +19,8 @@
 
 namespace balsamloft {
 
-/// Interface of the control thread for the traffic threads. Safe to call from any thread; results
-/// are returned as messages to the worker.
+/// Interface of the control thread for the traffic threads. The functions may be called from any
+/// thread; results are sent to the worker as messages.
 class ControlLink
 {
 public:
@@ -58,7 +58,7 @@
     bool start(Reason &reason);
     std::uint16_t port() const { return m_server.port(); }
 
-    // Messages, from any thread
+    // Messages, callable from any thread
 
     void installConfig(ConfigPtr config);
     void setLeaving(std::string endpoint, bool leaving);
@@ -102,7 +102,7 @@
     void checkIdle();
     std::string globalId(RequestId id) const;
 
-    // Each performs one kind of action.
+    // Each overload performs one kind of action.
     void operator()(SendStep &step);
     void operator()(CancelAttempt &cancel);
     void operator()(SendCall &call);
--- a/src/entry/connectionpool.h
+++ b/src/entry/connectionpool.h
@@ -36,7 +36,7 @@
 using PooledConnectionPtr = std::unique_ptr<PooledConnection>;
 
 /// Idle connections by the id of the endpoint's process. They are not keyed by address: when
-/// another process takes over an address, a connection to the old one must not be used.
+/// another process takes over an address, connections to the previous process must not be used.
 class ConnectionPool
 {
 public:
@@ -58,13 +58,13 @@
     std::map<std::string, std::vector<PooledConnectionPtr>> m_idle;
 };
 
-/// Callbacks of an Exchange. Each of them may cancel it.
+/// Callbacks of an Exchange. Each callback may cancel the exchange.
 class ExchangeHandler
 {
 public:
     virtual ~ExchangeHandler() = default;
 
-    /// Called right before the request is sent. \return whether it may be sent.
+    /// Called right before the request is sent. \return whether the request may be sent.
     virtual bool maySend() = 0;
     virtual void exchangeFailed(AttemptFailure failure) = 0;
 
