--- a/src/bench/controlscenarios.h
+++ b/src/bench/controlscenarios.h
@@ -21,7 +21,7 @@
 
 struct PropagationResult
 {
-    double medianSeconds = 0; ///< until the change is active on all nodes
+    double medianSeconds = 0; ///< median time until a change is active on all nodes
     double worstSeconds = 0;
     std::size_t timeouts = 0; ///< runs in which a change took more than a minute
 };
@@ -42,8 +42,8 @@
 /// Detection of a member that crashed or is leaving.
 struct DetectionResult
 {
-    double firstSeconds = 0; ///< until the first other member marks it dead (or leaving)
-    double allSeconds = 0; ///< until all other members have marked it
+    double firstSeconds = 0; ///< until the first other member marks the member dead (or leaving)
+    double allSeconds = 0; ///< until all other members have marked the member
     std::size_t falseDeaths = 0; ///< reports by any member that a live member is dead
 };
 
--- a/src/bench/decision.h
+++ b/src/bench/decision.h
@@ -1,5 +1,5 @@
 /// \file
-/// The cost of one routing decision.
+/// Sets up fleets and routing decisions to measure the cost of one decision.
 
 #pragma once
 
--- a/src/bench/layeremulator_test.cpp
+++ b/src/bench/layeremulator_test.cpp
@@ -43,10 +43,10 @@
 
 // Guards against herding: 59 instances per domain see the same engine states, up to a
 // second old, and would all send their requests of that second to the path that looks
-// best. With identical choices engines rejected 494 of 4,451 requests, 166 callers were
-// refused and 0.85 of the requests were on time. With randomized choices these were 36,
-// 5 and 0.98; with costs that also grow only with the square root of the time, 0, 0
-// and 0.97.
+// best. If all instances make the same choice, engines reject 494 of 4,451 requests, 166
+// callers are refused and 0.85 of the requests are on time. With randomized choices the
+// three values are 36, 5 and 0.98. If, in addition, the costs grow only with the square
+// root of the time, the values are 0, 0 and 0.97.
 TEST_CASE("instances with equally old engine states do not overload the best engine")
 {
     EmulationSettings settings = largeFleet();
@@ -76,7 +76,8 @@
 
 } // namespace
 
-// Guards against a fleet that stays slow after the first engines of paths have restarted.
+// Guards against a fleet that stays slow after the first engines of many paths crash and
+// restart.
 TEST_CASE("the on-time share recovers after the first engines of paths restart")
 {
     EmulationSettings settings = referenceFleet();
@@ -85,7 +86,7 @@
     CHECK(recoveredShare(settings) >= MinRecoveredShare);
 }
 
-// Guards against the same failure with 80 and 295 instances.
+// Guards against the same failure in fleets of 80 and 295 instances.
 TEST_CASE("the on-time share of large fleets recovers after the first engines of paths restart")
 {
     EmulationSettings settings = GENERATE(grownFleet(), largeFleet());
--- a/src/bench/policy_test.cpp
+++ b/src/bench/policy_test.cpp
@@ -58,7 +58,8 @@
         INFO(teams << " teams");
         CHECK(result.modestLoss < 0.05);
         CHECK(result.worstModestLoss < 0.05);
-        CHECK(result.greedyFraction > 0.25); // capacity that the other teams leave unused
+        CHECK(result.greedyFraction
+              > 0.25); // t0 uses the capacity that the other teams leave unused
         CHECK(result.usefulFraction > 0.94);
     }
 }
@@ -75,8 +76,9 @@
 TEST_CASE("after an engine failure all streams complete, with a short pause and few retries",
           "[policy][failure]")
 {
-    // Killed engines are detected at once, frozen ones and unresponsive connections
-    // by a timeout. The pause is the longest gap between tokens after the fault.
+    // Killed engines are detected at once; frozen engines and unresponsive connections
+    // are detected by a timeout. The measured pause is the longest one between two tokens
+    // after the fault.
     for (const Fault fault : {Fault::KilledStage, Fault::LostThird}) {
         const RecoveryResult result = runRecovery(fault, 1);
         CHECK(result.affectedRequests > 0);
--- a/src/bench/scenarios.cpp
+++ b/src/bench/scenarios.cpp
@@ -49,7 +49,7 @@
     return values[index];
 }
 
-/// Submits requests with exponentially distributed gaps (a Poisson process).
+/// Submits requests at exponentially distributed intervals (a Poisson process).
 class Arrivals
 {
 public:
@@ -246,8 +246,8 @@
     RouterHarness harness(settings, harnessConfig("model", 1, engines, list), engines);
     const Time start = harness.now();
     const Time end = start + std::chrono::seconds(20);
-    // Team 0 offers twice the capacity of all engines; the others together offer
-    // 70 % of the capacity, each less than its share.
+    // Team 0 offers twice the capacity of all engines; the other teams
+    // together offer 70 % of the capacity, and each of them offers less than its share.
     const double requestCapacity = capacity(engines) / 16;
     std::uint64_t number = 0;
     const auto make = [&](std::string team) {
@@ -394,7 +394,7 @@
                                        [&](const auto &token) { return token.first >= faultAt; });
         if (next == record.tokens.end())
             continue;
-        // With an unresponsive connection the longest gap may start some tokens after the fault.
+        // With an unresponsive connection, the longest pause may start some tokens after the fault.
         double longest = 0;
         Time previous = faultAt;
         for (auto it = next; it != record.tokens.end(); ++it) {
--- a/src/bench/scenarios.h
+++ b/src/bench/scenarios.h
@@ -28,7 +28,7 @@
 {
     double usefulFraction = 0; ///< tokens of complete answers, as a fraction of the capacity
     double answeredFraction = 0; ///< fraction of the offered requests that were answered completely
-    double medianSeconds = 0; ///< from submission to completion, of answered requests
+    double medianSeconds = 0; ///< median time from submission to completion of answered requests
     double p95Seconds = 0;
     double unexecutedPerRequest = 0;
     std::uint64_t refusedNotExecuted = 0;
@@ -41,7 +41,7 @@
 struct AlertResult
 {
     double idleSteps = 0; ///< median time to first token on an idle system, in engine steps
-    double p99Steps = 0; ///< 99th percentile of the same under saturation
+    double p99Steps = 0; ///< 99th percentile of the time to first token under saturation
     double batchFraction = 0; ///< tokens of complete batch answers, as a fraction of the capacity
 };
 
@@ -51,7 +51,7 @@
 struct FairnessResult
 {
     double modestLoss = 0; ///< fraction of the modest teams' requests that were not answered
-    double worstModestLoss = 0; ///< the same for the modest team with the largest loss
+    double worstModestLoss = 0; ///< modestLoss of the modest team with the largest loss
     double greedyFraction = 0; ///< fraction of the answered requests that belong to the greedy team
     double usefulFraction = 0;
 };
@@ -62,7 +62,7 @@
 struct PrefixResult
 {
     double hitRate = 0;
-    double oracleHitRate = 0; ///< of one shared cache as large as all engines' caches together
+    double oracleHitRate = 0; ///< hit rate of one cache as large as all engines' caches together
 };
 
 PrefixResult runPrefixes(RoutingPolicy policy, std::uint64_t seed);
@@ -72,12 +72,14 @@
 /// Effect of a fault on the callers.
 struct RecoveryResult
 {
-    double medianMillis = 0; ///< longest pause between tokens after the fault, of affected requests
+    double medianMillis =
+        0; ///< median, over affected requests, of the longest pause after the fault
     double worstMillis = 0;
-    double prefillMillis = 0; ///< prefill time of the new attempt, included in the above
+    double prefillMillis = 0; ///< prefill time of the new attempt, included in the pauses above
     double completeFraction = 0; ///< fraction of the requests that were answered completely
-    double amplification = 0; ///< attempts per request that may have been executed
-    std::size_t affectedRequests = 0; ///< in progress at the fault and attempted again
+    double amplification = 0; ///< possibly executed attempts per request
+    std::size_t affectedRequests =
+        0; ///< requests in progress at the fault that were attempted again
 };
 
 RecoveryResult runRecovery(Fault fault, std::uint64_t seed);
--- a/src/fakes/fake_engine.cpp
+++ b/src/fakes/fake_engine.cpp
@@ -251,7 +251,7 @@
         respondJson(exchange, 200, {{"ok", true}});
     }
 
-    EngineSettings m_settings; ///< as of the last accepted order
+    EngineSettings m_settings; ///< model and layers are those of the last accepted order
     EngineModel m_model;
     boost::asio::steady_timer m_timer;
     boost::asio::steady_timer m_loadTimer;
@@ -263,8 +263,8 @@
     std::uint64_t m_loads = 0;
     bool m_loading = false;
     std::uint64_t m_cancels = 0;
-    int m_answersToSuppress = 0; ///< number of next answers that are not sent
-    int m_answersToSwap = 0; ///< number of next answers that are swapped in pairs
+    int m_answersToSuppress = 0; ///< how many of the next answers are not sent
+    int m_answersToSwap = 0; ///< how many of the next answers are swapped in pairs
 };
 
 } // namespace
--- a/src/fakes/layeremulator.cpp
+++ b/src/fakes/layeremulator.cpp
@@ -13,7 +13,7 @@
 /// Time after which an attempt that waits for a crashed engine fails.
 constexpr Duration StallTimeout {2'500'000};
 constexpr std::uint32_t ChunkTokens = 512;
-constexpr double MaxPauseMs = 2000; ///< a stream with a longer gap counts as truncated
+constexpr double MaxPauseMs = 2000; ///< a stream with a longer pause counts as truncated
 
 Duration milliseconds(double value)
 {
@@ -307,8 +307,8 @@
         });
     }
 
-    /// Moves a run to another path under its first engine: engines new to the path
-    /// prefill the tokens so far, the others keep their caches.
+    /// Moves a run to another path that begins with the same engine. Engines that are new
+    /// to the path prefill the tokens so far; the other engines keep their caches.
     void changePath(std::size_t instance, const ChangePath &change)
     {
         const auto found = std::find_if(m_runs.begin(), m_runs.end(), [&](const Run &run) {
@@ -411,7 +411,7 @@
         for (std::size_t i = 0; i < run.engines.size(); ++i) {
             const Engine &engine = m_engines[run.engines[i]];
             if (i == 0 && m_now < engine.downUntil)
-                return; // no answer: the instance detects the failure by its own timeout
+                return; // no answer: the instance detects the failure by a timeout
             if (!holdsPart(run, i) || (i > 0 && !hasMemory(run, i)))
                 return reject(run, engine.endpoint.address);
         }
@@ -811,8 +811,9 @@
 
 double tokenBound(const EmulationSettings &settings)
 {
-    // In a large batch the cost of a step is shared. An engine's throughput is then
-    // bound by the time per sequence and the share of the prompt per generated token.
+    // In a large batch, all sequences share the fixed cost of a step. The throughput of an
+    // engine is then limited by the time per sequence and by the number of prompt tokens
+    // per generated token.
     const LayeredModel &model = settings.model;
     const double context = (model.typicalPromptTokens + model.typicalAnswerTokens / 2.0) / 1000;
     const double prompts =
--- a/src/fakes/layeremulator.h
+++ b/src/fakes/layeremulator.h
@@ -1,9 +1,8 @@
 /// \file
-/// Emulates in virtual time engines that each hold a range of layers, and real
-/// Relay objects that send requests to them. Engines batch all waiting attempts
-/// into a pass, prefill prompts in chunks, account memory in tokens times layers,
-/// queue and preempt. The network is a constant delay; the store, connections and
-/// updates between instances are omitted.
+/// Emulates, in virtual time, engines that each hold a range of layers. Real Relay
+/// objects send requests to these engines. Engines batch all waiting attempts into a pass, prefill
+/// prompts in chunks, account memory in tokens times layers, queue and preempt. The network is a
+/// constant delay; the store, connections and updates between instances are omitted.
 
 #pragma once
 
@@ -29,14 +28,14 @@
     LayeredModel model;
     std::vector<EmulatedGroup> engines;
     std::uint32_t instancesPerDomain = 3;
-    double requestsPerSecond = 80; ///< of all instances together
-    Duration length {20'000'000}; ///< of the traffic
+    double requestsPerSecond = 80; ///< sum over all instances
+    Duration length {20'000'000}; ///< duration of the traffic
     Duration reportInterval {1'000'000}; ///< between engine state reports to instances
-    Duration reportLag {200'000}; ///< from the state of an engine to its receipt
+    Duration reportLag {200'000}; ///< age of an engine state when an instance receives it
     Duration failureInterval {0}; ///< between crashes of random engines; 0: no crashes
     Duration failureDuration {4'000'000}; ///< from a crash to the restart
-    /// Times since the start of the traffic at which the engine crashes that is the
-    /// first stage of most paths.
+    /// Times of crashes, since the start of the traffic. Each crash hits the engine that is
+    /// the first stage of most active runs at that time.
     std::vector<Duration> firstEngineFailures;
     Duration targetLatency {500'000};
     Duration targetEventPause {200'000};
@@ -56,18 +55,18 @@
 struct EmulationResult
 {
     std::uint64_t requests = 0;
-    std::uint64_t onTime = 0; ///< completed; first event and all gaps within the targets
+    std::uint64_t onTime = 0; ///< completed; first event and all pauses within the targets
     std::uint64_t late = 0; ///< completed, but beyond a target
     std::uint64_t refused = 0; ///< failed without having been executed
-    std::uint64_t truncated = 0; ///< failed after a start, or slower than callers wait
+    std::uint64_t truncated = 0; ///< failed after a possible start, or slower than callers wait
     std::uint64_t resent = 0;
-    std::uint64_t rejected = 0; ///< by engines, for lack of memory or layers
+    std::uint64_t rejected = 0; ///< attempts that engines rejected for lack of memory or layers
     std::uint64_t preempted = 0;
-    std::uint64_t tokens = 0; ///< that callers received
-    std::uint64_t orders = 0; ///< to load layers
+    std::uint64_t tokens = 0; ///< tokens that callers received
+    std::uint64_t orders = 0; ///< number of orders to load layers
     double medianFirstEventMs = 0;
     double p99FirstEventMs = 0;
-    double medianGapMs = 0; ///< median over streams of their mean gap between events
+    double medianGapMs = 0; ///< median over streams of the mean pause between events
     double medianRecoveryMs = 0; ///< from a crash to the next event of an interrupted stream
 
     /// Indexed by the second of the traffic in which the requests were submitted.
--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -13,7 +13,8 @@
 constexpr Duration StoreHoldTime {700'000}; ///< how long the store holds a long poll
 constexpr Duration PeerHoldTime {300'000}; ///< how long an instance holds a query
 constexpr Duration FirstPeerHoldTime {100'000}; ///< hold time for an instance without data
-constexpr Duration StoreTimeout {1'200'000}; ///< after which a call to an unresponsive store fails
+constexpr Duration StoreTimeout {
+    1'200'000}; ///< time after which a call to an unresponsive store fails
 constexpr Duration RetryPause {100'000};
 
 std::string nameOf(std::size_t index)
@@ -71,7 +72,7 @@
     Instance &each = m_instances[instance];
     each.directory = PeerDirectory(each.self.name, each.self.domain);
     each.directory.setInstances(m_list);
-    m_storeCalls += 1; // reads the list of instances
+    m_storeCalls += 1; // the instance reads the list of instances
     each.alive = true;
     endQuery(each);
     each.direct = false;
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -79,11 +79,11 @@
     /// Number of live instances that have the latest version.
     std::size_t upToDateCount() const;
 
-    /// Total number of answers with rows that instances started to send each other.
+    /// Total number of answers with rows that instances started to send to other instances.
     std::uint64_t answersSent() const { return m_answersSent; }
 
-    /// Total number of times, counted per instance and step, that an instance's data was older
-    /// than the age it recorded.
+    /// Number of violations over all instances and steps. A violation is a step in which the data
+    /// of an instance is older than the age that the instance recorded.
     std::uint64_t freshnessViolations() const { return m_freshnessViolations; }
 
 private:
@@ -93,7 +93,7 @@
         std::uint64_t version = 0;
         Time knownAt {};
         bool direct = false;
-        bool hasRows = false; ///< takes a share of the sender's link
+        bool hasRows = false; ///< the answer has rows, so it takes a share of the sender's link
         double bytesLeft = 0;
     };
 
@@ -115,10 +115,10 @@
         std::size_t source = 0; ///< index of the queried instance, unless the store is queried
         Time sourceKnownAtStart {}; ///< the source's \c knownAt when the query started
         Time queriedAt {};
-        Time storeAnswerAt {}; ///< latest time of the store's answer or failure
+        Time storeAnswerAt {}; ///< the store's answer or failure arrives by then
         Time holdUntil {}; ///< the source answers by then, even without changes
         std::optional<Answer> answer; ///< the answer in transit
-        std::optional<Time> lastDataAt; ///< arrival of the answer's last part so far
+        std::optional<Time> lastDataAt; ///< when the latest part of the answer arrived
         double linkBytesPerMs = 0;
         Time nextQueryAt {}; ///< no query starts before this time
     };
@@ -146,7 +146,8 @@
     std::vector<Time> m_writes;
     Time m_storeImpairedAt {}; ///< last time the store failed for any instance
     std::size_t m_rowBytes = 0; ///< encoded size of the row in an answer
-    std::vector<std::size_t> m_answersInTransit; ///< per sending instance
+    std::vector<std::size_t>
+        m_answersInTransit; ///< number of answers with rows, by sending instance
     std::uint64_t m_answersSent = 0;
     std::uint64_t m_storeCalls = 0;
     std::uint64_t m_freshnessViolations = 0;
--- a/src/fakes/routerharness.h
+++ b/src/fakes/routerharness.h
@@ -48,7 +48,7 @@
     bool frozen = false; ///< accepts data, but neither steps nor probes are answered
     std::uint32_t answersToDrop = 0; ///< next answers that are lost
     std::uint32_t answersToMisroute = 0; ///< next answers that carry another request's id
-    Duration extraLatency {}; ///< of the link, one way
+    Duration extraLatency {}; ///< additional one-way latency of the link
     std::map<Time, LoadReport> reports; ///< past reports, for reportLag
 };
 
@@ -147,7 +147,7 @@
     std::deque<HarnessEngine> m_engines;
     std::vector<std::map<std::uint64_t, SentStep>> m_sent; ///< by engine and ticket
     std::vector<Time> m_advanceAt;
-    std::vector<std::size_t> m_engineOf; ///< by EndpointId, the same for all routers
+    std::vector<std::size_t> m_engineOf; ///< engine index by EndpointId, the same for all routers
     std::map<RequestId, CallerRecord> m_records;
     std::priority_queue<Event> m_events;
     TableModel m_tables;
--- a/testsuite/claims/claims_test.cpp
+++ b/testsuite/claims/claims_test.cpp
@@ -143,8 +143,9 @@
 TEST_CASE("calls with a key are refused during a platform outage, calls without one are executed",
           "[process][claims][failure]")
 {
-    // A claim needs the platform, so a call with a key is refused at its deadline and reported as
-    // not executed. The configuration stays in use, and the same key works after the outage.
+    // Without the platform an instance cannot claim a key. A call with a key is therefore refused
+    // at its deadline and reported as not executed. Calls without a key are still executed, and
+    // the same key works after the outage.
     Fleet fleet;
     startFleet(fleet);
     fleet.injectFaults(fleet.platform(), {{"down", true}});
--- a/testsuite/common/fleet.h
+++ b/testsuite/common/fleet.h
@@ -50,8 +50,8 @@
     std::string target = "/v1/completions";
 };
 
-/// Sends all \a calls concurrently, each on a separate connection. Calls \a started once the last
-/// request is being sent.
+/// Sends all \a calls concurrently, each on a separate connection. Calls \a started when
+/// the last request begins to be sent.
 std::vector<Reply> sendAll(const std::vector<Call> &calls,
                            const std::function<void()> &started = {});
 
@@ -76,7 +76,7 @@
     int slots = 16;
     int stepMicros = 2000;
     bool checksFencing = false;
-    bool placeable = false; ///< the inventory assigns no model to it
+    bool placeable = false; ///< if set, the inventory assigns no model to the engine
     std::string model = "m";
 };
 
--- a/testsuite/common/wait.h
+++ b/testsuite/common/wait.h
@@ -8,8 +8,8 @@
 
 namespace balsamloft::testsuite {
 
-/// Polls \a condition until it returns true. Returns false after two minutes, which is ample for a
-/// slow machine and only bounds a hang.
+/// Polls \a condition until it returns true. Returns false after two minutes. This is ample
+/// for a slow machine, so only a hang reaches the limit.
 template<typename Condition>
 bool waitUntil(Condition condition)
 {
--- a/testsuite/configuration/configuration_test.cpp
+++ b/testsuite/configuration/configuration_test.cpp
@@ -89,8 +89,8 @@
 
 TEST_CASE("a change during a platform outage is refused and has no effect", "[process][failure]")
 {
-    // The change must not be reported as accepted. The current configuration stays in use, and the
-    // same change succeeds after the outage.
+    // During the outage the change must not be reported as accepted, and the current configuration
+    // stays in use. The same change succeeds after the outage.
     Fleet fleet;
     fleet.startChains(1);
     fleet.startDaemon("i1");
@@ -110,12 +110,12 @@
 TEST_CASE("an instance without a connection to the platform gets changes from its peers",
           "[process][failure]")
 {
-    // A change is accepted by another instance. This instance receives the version number by gossip
-    // and fetches the configuration from a peer.
+    // Instance i1 accepts a change. Instance i2 cannot reach the platform: it receives the version
+    // number by gossip and fetches the configuration from i1.
     Fleet fleet;
     fleet.startChains(1);
     fleet.startDaemon("i1", "a");
-    // Nothing listens at this address.
+    // Nothing listens at the platform address that i2 is given.
     fleet.startDaemon("i2", "b", {"--platform=127.0.0.1:1"});
     fleet.configure();
     const auto file = fleet.file("r.json", withTeam(fleet.rules(), "x", 0.1));
@@ -154,8 +154,8 @@
 
 TEST_CASE("a new instance without platform and peers is not ready", "[process][failure]")
 {
-    // A load balancer sends it no requests; a request that arrives anyway is refused as not
-    // executed.
+    // The instance has no configuration and reports that it is not ready, so a load balancer sends
+    // it no requests. A request that arrives anyway is refused as not executed.
     Fleet fleet;
     fleet.injectFaults(fleet.platform(), {{"down", true}});
     fleet.startDaemon("i1");
--- a/testsuite/cost/main.cpp
+++ b/testsuite/cost/main.cpp
@@ -1,7 +1,7 @@
 // Measures what forwarding costs an instance: one real process with a fake store and fake endpoints
 // handles many concurrent streams and calls. Prints processor time and memory, and the number of
-// socket operations and store calls. Counts have bounds, times have none; exits with 1 if a bound
-// is exceeded.
+// socket operations and store calls. The counts have bounds, the times have none. The program exits
+// with 1 if a bound is exceeded.
 
 #include "../common/process.h"
 #include "../common/wait.h"
--- a/testsuite/crashing-requests/crashing_requests_test.cpp
+++ b/testsuite/crashing-requests/crashing_requests_test.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-constexpr auto PropagationTime = std::chrono::seconds(3); ///< ample for a slow machine
+/// Time for crash records to reach all instances; ample for a slow machine.
+constexpr auto PropagationTime = std::chrono::seconds(3);
 constexpr auto CrashPollInterval = std::chrono::milliseconds(5);
 constexpr auto RestartDelay = std::chrono::milliseconds(300);
 
@@ -158,7 +159,8 @@
 
 } // namespace
 
-// Guards against a request that crashes one endpoint after another, again at each instance.
+// Guards against a request that crashes one endpoint after another because each instance that
+// receives the request forwards it again.
 TEST_CASE("a request that crashes endpoints is refused by all instances, also after their restart",
           "[process]")
 {
--- a/testsuite/failing-stages/failing_stages_test.cpp
+++ b/testsuite/failing-stages/failing_stages_test.cpp
@@ -114,7 +114,7 @@
           "[process][failure]")
 {
     // One chain loses an engine permanently while connections to another chain go silent. Both
-    // kinds of failure count against the same requests.
+    // kinds of failure count toward the attempt limit of a request.
     Fleet fleet;
     startFleet(fleet, 3, 3000);
     checkAllComplete(streamDuring(fleet, 20, "e01", [&] {
--- a/testsuite/leaving-endpoint/leaving_endpoint_test.cpp
+++ b/testsuite/leaving-endpoint/leaving_endpoint_test.cpp
@@ -51,7 +51,7 @@
 TEST_CASE("an endpoint that is listed as leaving gets no new requests", "[process][failure]")
 {
     // Only one instance reads the platform's list in time; the other receives the state by gossip.
-    // An older list that is served again must not revoke the state.
+    // If the platform serves an older list again, the endpoint must still count as leaving.
     Fleet fleet;
     fleet.startChains(2);
     fleet.startDaemon("i1", "a");
@@ -76,8 +76,9 @@
 TEST_CASE("an endpoint that refuses requests as leaving executes none, and no request fails",
           "[process][failure]")
 {
-    // The refusal proves that nothing was executed, so the request is sent to another engine, and
-    // the other instances are notified. The engine finishes the requests that it is executing.
+    // A leaving engine refuses a request. The refusal proves that the engine executed nothing, so
+    // the request is sent to another engine, and the other instances are notified. The leaving
+    // engine finishes the requests that it is executing.
     Fleet fleet;
     fleet.startChains(2);
     fleet.startDaemon("i1", "a");
--- a/testsuite/soak/platform.h
+++ b/testsuite/soak/platform.h
@@ -67,10 +67,10 @@
     awaitable<void> crashAndReturn();
     /// Reports in its entry that it is leaving; running requests continue.
     void leave();
-    /// Restarts with a new id and deletes its entry at once, but keeps running.
+    /// Restarts with a new id and deletes the new entry at once, but keeps running.
     void restartUnlisted();
-    /// Reports that it is leaving, deletes its entry and writes its former entry again, as if that
-    /// write had been delayed on the network.
+    /// Reports that it is leaving and deletes its entry. Then writes the "ready" entry again, as if
+    /// an earlier write had been delayed on the network.
     void writeFormerEntry();
     /// Deletes its entry, but keeps running.
     void deleteEntry();
--- a/testsuite/soak/record.cpp
+++ b/testsuite/soak/record.cpp
@@ -8,8 +8,8 @@
 
 constexpr int Ok = 200;
 
-/// An endpoint must get no new requests this long after it reported that it is leaving; ample for a
-/// slow machine.
+/// Time after which an endpoint that reported that it is leaving must get no new requests; ample
+/// for a slow machine.
 constexpr auto LeavingPropagation = std::chrono::seconds(10);
 
 bool meansNotExecuted(int status)
--- a/testsuite/soak/record.h
+++ b/testsuite/soak/record.h
@@ -53,7 +53,8 @@
     void checkBody(const std::string &request, const Exchange &exchange,
                    std::vector<std::string> &violations) const;
 
-    std::map<std::string, std::vector<std::string>> m_executed; ///< endpoints by request
+    std::map<std::string, std::vector<std::string>>
+        m_executed; ///< endpoints that executed each request
     std::map<std::string, Exchange> m_received;
     std::map<std::string, Clock::time_point> m_leavingAt;
     std::vector<std::string> m_crashed;
@@ -63,7 +64,7 @@
 /// Body of an endpoint's answer to a call.
 std::string callBody(const std::string &request);
 
-/// One event of the stream that answers \a request; the first one is 1.
+/// One event of the stream that answers \a request; the first event has number 1.
 std::string eventText(const std::string &request, int number);
 
 } // namespace balsamloft::soak
--- a/testsuite/soak/soak.cpp
+++ b/testsuite/soak/soak.cpp
@@ -22,7 +22,8 @@
 namespace {
 
 constexpr auto CallerTimeout = std::chrono::seconds(15);
-/// Only bounds a hang; ample for a slow machine.
+/// Time limit for an instance to serve requests again. Ample for a slow machine, so only a hang
+/// reaches the limit.
 constexpr auto RecoveryTimeout = std::chrono::seconds(60);
 /// How long an unlisted endpoint keeps running; exceeds the time after which it must get no new
 /// requests.
@@ -260,8 +261,8 @@
             exchange.events = 5;
             co_await send(socket, id, exchange);
             const bool complete = exchange.status == 200 && exchange.complete;
-            // This answer is checked too: an instance without a configuration must not reject
-            // requests.
+            // Answers of this loop are recorded for the check too: an instance without a
+            // configuration must not reject requests.
             m_record.received(id, std::move(exchange));
             if (complete)
                 co_return true;
--- a/testsuite/soak/soak.h
+++ b/testsuite/soak/soak.h
@@ -1,6 +1,6 @@
 /// \file
 /// Runs instances of `balsamloft-entry` as real processes, with callers that reuse their
-/// connections, while overlapping series of random faults are injected from outside.
+/// connections, while overlapping series of random faults are injected into processes and links.
 
 #pragma once
 
@@ -48,8 +48,8 @@
         std::vector<std::string> arguments;
         std::unique_ptr<Link> store; ///< link to the store
         std::unique_ptr<testsuite::Process> process;
-        std::string formerOutput; ///< of its earlier processes
-        bool busy = false; ///< a fault of its process is in progress
+        std::string formerOutput; ///< output of the instance's earlier processes
+        bool busy = false; ///< a fault of the instance's process is in progress
     };
 
     void makeEndpoints();
@@ -65,7 +65,7 @@
     awaitable<void> endpointFault(std::mt19937_64 &random, Milliseconds time);
     awaitable<void> runCaller(std::size_t instance, std::uint64_t seed);
     awaitable<void> runCrashingCaller(std::uint64_t seed);
-    /// Sends the request of \a exchange and stores its answer there.
+    /// Sends the request of \a exchange and stores the answer in \a exchange.
     /// \return whether the connection can be used again.
     awaitable<bool> send(tcp::socket &socket, const std::string &id, Exchange &exchange);
     /// Whether a request of \a kind succeeds within RecoveryTimeout.
