--- a/src/bench/controlscenarios.h
+++ b/src/bench/controlscenarios.h
@@ -42,8 +42,9 @@
 /// Detection of a member that crashed or is leaving.
 struct DetectionResult
 {
-    double firstSeconds = 0; ///< until the first other member marks the member dead (or leaving)
-    double allSeconds = 0; ///< until all other members have marked the member
+    /// Time until the first other member marks the member dead (or leaving).
+    double firstSeconds = 0;
+    double allSeconds = 0; ///< time until all other members have marked the member
     std::size_t falseDeaths = 0; ///< reports by any member that a live member is dead
 };
 
--- a/src/bench/decision.h
+++ b/src/bench/decision.h
@@ -1,5 +1,5 @@
 /// \file
-/// Sets up fleets and routing decisions to measure the cost of one decision.
+/// Makes single routing decisions, to measure their cost.
 
 #pragma once
 
--- a/src/bench/policy_test.cpp
+++ b/src/bench/policy_test.cpp
@@ -58,8 +58,8 @@
         INFO(teams << " teams");
         CHECK(result.modestLoss < 0.05);
         CHECK(result.worstModestLoss < 0.05);
-        CHECK(result.greedyFraction
-              > 0.25); // t0 uses the capacity that the other teams leave unused
+        // The greedy team uses the capacity that the other teams leave unused.
+        CHECK(result.greedyFraction > 0.25);
         CHECK(result.usefulFraction > 0.94);
     }
 }
--- a/src/bench/scenarios.h
+++ b/src/bench/scenarios.h
@@ -47,7 +47,8 @@
 
 AlertResult runAlerts(std::uint32_t alertEndpoints, double load, std::uint64_t seed);
 
-/// One team that exceeds its share (greedy) among teams within theirs (modest).
+/// Results of a load in which one team (greedy) exceeds its share and the other teams
+/// (modest) stay within their shares.
 struct FairnessResult
 {
     double modestLoss = 0; ///< fraction of the modest teams' requests that were not answered
@@ -72,14 +73,14 @@
 /// Effect of a fault on the callers.
 struct RecoveryResult
 {
-    double medianMillis =
-        0; ///< median, over affected requests, of the longest pause after the fault
+    /// Median, over the affected requests, of the longest pause between tokens after the fault.
+    double medianMillis = 0;
     double worstMillis = 0;
     double prefillMillis = 0; ///< prefill time of the new attempt, included in the pauses above
     double completeFraction = 0; ///< fraction of the requests that were answered completely
     double amplification = 0; ///< possibly executed attempts per request
-    std::size_t affectedRequests =
-        0; ///< requests in progress at the fault that were attempted again
+    /// Requests that were in progress at the fault and were attempted again.
+    std::size_t affectedRequests = 0;
 };
 
 RecoveryResult runRecovery(Fault fault, std::uint64_t seed);
--- a/src/fakes/controlharness.h
+++ b/src/fakes/controlharness.h
@@ -40,7 +40,7 @@
     bool platformReachable = true;
     std::uint32_t partition = 0; ///< messages are delivered within a partition only
     std::uint64_t installedVersion = 0; ///< active configuration version
-    std::uint64_t regressions = 0; ///< times that a lower version replaced a higher one
+    std::uint64_t regressions = 0; ///< how often a lower version replaced a higher one
     std::map<std::uint64_t, Time> installedAt;
     std::uint64_t bytesSent = 0;
     std::uint64_t messagesSent = 0;
@@ -60,7 +60,7 @@
     void runFor(Duration duration) { run(m_now + duration); }
     void at(Time at, std::function<void()> action);
 
-    /// Adds an instance with a few others as its seeds. Returns its index.
+    /// Adds an instance with a few other instances as its seeds. Returns the new index.
     std::size_t addNode();
     void kill(std::size_t node) { m_nodes[node].alive = false; }
     void propose(std::size_t node, ConfigProposal proposal);
@@ -73,7 +73,7 @@
     void leave(std::size_t node);
 
     /// Runs until \a version is active at all live nodes, or \a limit has passed. Returns the
-    /// time it took, or nullopt.
+    /// time until then, or nullopt if the limit has passed.
     std::optional<Duration> timeToVersion(std::uint64_t version, Duration limit);
 
     Time now() const { return m_now; }
--- a/src/fakes/enginemodel.h
+++ b/src/fakes/enginemodel.h
@@ -1,7 +1,8 @@
 /// \file
 /// State machine of a stand-in model engine with batch limits. Its deterministic
 /// "model" gives the expected tokens only if all layers are run in order.
-/// Tests and benchmarks drive it in virtual time, fake_engine in real time.
+/// Tests and benchmarks run the state machine in virtual time; fake_engine runs it in
+/// real time.
 
 #pragma once
 
@@ -60,7 +61,7 @@
     StepAnswer answer;
 };
 
-/// The state machine. Not thread-safe.
+/// The state machine of one engine. Not thread-safe.
 class EngineModel
 {
 public:
@@ -127,7 +128,7 @@
 };
 
 /// Returns the text that a model of \a layers layers generates for \a prompt.
-/// Tests compare answers with it to detect truncated and mismatched ones.
+/// Tests compare answers with this text to detect truncated and mismatched answers.
 std::string expectedCompletion(std::string_view model, std::uint32_t layers,
                                std::string_view prompt, std::uint32_t tokens);
 
--- a/src/fakes/fakeprocess.h
+++ b/src/fakes/fakeprocess.h
@@ -19,7 +19,8 @@
 /// Answers \a exchange with a JSON value.
 void respondJson(const HttpExchangePtr &exchange, unsigned status, const boost::json::value &value);
 
-/// Returns the body of the request as a JSON object, or an empty object if it is not one.
+/// Returns the body of the request as a JSON object, or an empty object if the body is
+/// not a JSON object.
 boost::json::object bodyObject(const HttpExchangePtr &exchange);
 
 /// Returns the target of the request without the query.
--- a/src/fakes/layeremulator.h
+++ b/src/fakes/layeremulator.h
@@ -1,8 +1,8 @@
 /// \file
-/// Emulates, in virtual time, engines that each hold a range of layers. Real Relay
-/// objects send requests to these engines. Engines batch all waiting attempts into a pass, prefill
-/// prompts in chunks, account memory in tokens times layers, queue and preempt. The network is a
-/// constant delay; the store, connections and updates between instances are omitted.
+/// Emulates, in virtual time, engines that each hold a range of layers. Real Relay objects
+/// send requests to these engines. Engines batch all waiting attempts into a pass, prefill
+/// prompts in chunks, account memory in tokens times layers, queue and preempt. The network
+/// is a constant delay; the store, connections and updates between instances are omitted.
 
 #pragma once
 
@@ -30,10 +30,10 @@
     std::uint32_t instancesPerDomain = 3;
     double requestsPerSecond = 80; ///< sum over all instances
     Duration length {20'000'000}; ///< duration of the traffic
-    Duration reportInterval {1'000'000}; ///< between engine state reports to instances
+    Duration reportInterval {1'000'000}; ///< time between engine state reports to instances
     Duration reportLag {200'000}; ///< age of an engine state when an instance receives it
-    Duration failureInterval {0}; ///< between crashes of random engines; 0: no crashes
-    Duration failureDuration {4'000'000}; ///< from a crash to the restart
+    Duration failureInterval {0}; ///< time between crashes of random engines; 0: no crashes
+    Duration failureDuration {4'000'000}; ///< time from a crash to the restart
     /// Times of crashes, since the start of the traffic. Each crash hits the engine that is
     /// the first stage of most active runs at that time.
     std::vector<Duration> firstEngineFailures;
@@ -67,7 +67,8 @@
     double medianFirstEventMs = 0;
     double p99FirstEventMs = 0;
     double medianGapMs = 0; ///< median over streams of the mean pause between events
-    double medianRecoveryMs = 0; ///< from a crash to the next event of an interrupted stream
+    /// Median time from a crash to the next event of an interrupted stream.
+    double medianRecoveryMs = 0;
 
     /// Indexed by the second of the traffic in which the requests were submitted.
     std::vector<EmulatedSecond> seconds;
--- a/src/fakes/propagationemulator.h
+++ b/src/fakes/propagationemulator.h
@@ -1,7 +1,7 @@
 /// \file
 /// Simulates in virtual time how changes in the store propagate to the instances. The
-/// instances follow the store, or each other, by long polls that are held until there are
-/// changes. The choice of the source, the encoding of rows and the time limits are the code
+/// instances follow the store, or each other, by long polls. A long poll is held until there
+/// are changes. The choice of the source, the encoding of rows and the time limits are the code
 /// under test; the store and the network are modelled.
 
 #pragma once
@@ -54,7 +54,7 @@
     void kill(std::size_t instance);
 
     /// Restarts an instance without data. Reading the list of instances costs one store call.
-    /// For the duration \a busy it neither sends nor answers queries.
+    /// For the duration \a busy the instance neither sends nor answers queries.
     void start(std::size_t instance, Duration busy = {});
 
     // Queries
@@ -69,9 +69,9 @@
     /// The largest number of instances that query the same instance now.
     std::size_t maxQueriersPerInstance() const;
 
-    /// Age of the oldest data among the instances that have data and were unimpaired for
-    /// \a length: neither dead, busy nor partitioned. Zero if the store failed for any
-    /// instance within \a length.
+    /// Age of the oldest data among the instances that have data and, for the past \a length,
+    /// were neither dead, busy nor partitioned. Zero if the store failed for any instance in
+    /// that time.
     Duration oldestConnectedAge(Duration length) const;
 
     bool hasData(std::size_t instance) const { return m_instances[instance].version > 0; }
@@ -87,7 +87,7 @@
     std::uint64_t freshnessViolations() const { return m_freshnessViolations; }
 
 private:
-    /// The answer of an instance to another one's query.
+    /// An instance's answer to a query of another instance.
     struct Answer
     {
         std::uint64_t version = 0;
@@ -146,8 +146,8 @@
     std::vector<Time> m_writes;
     Time m_storeImpairedAt {}; ///< last time the store failed for any instance
     std::size_t m_rowBytes = 0; ///< encoded size of the row in an answer
-    std::vector<std::size_t>
-        m_answersInTransit; ///< number of answers with rows, by sending instance
+    /// Number of answers with rows in transit, by sending instance.
+    std::vector<std::size_t> m_answersInTransit;
     std::uint64_t m_answersSent = 0;
     std::uint64_t m_storeCalls = 0;
     std::uint64_t m_freshnessViolations = 0;
--- a/src/fakes/routerharness.h
+++ b/src/fakes/routerharness.h
@@ -46,10 +46,11 @@
     std::uint32_t epoch = 0; ///< increased by kill(): steps of earlier epochs are dropped
     bool killed = false; ///< refuses and resets connections
     bool frozen = false; ///< accepts data, but neither steps nor probes are answered
-    std::uint32_t answersToDrop = 0; ///< next answers that are lost
-    std::uint32_t answersToMisroute = 0; ///< next answers that carry another request's id
+    std::uint32_t answersToDrop = 0; ///< how many of the next answers are lost
+    /// How many of the next answers carry the id of another request.
+    std::uint32_t answersToMisroute = 0;
     Duration extraLatency {}; ///< additional one-way latency of the link
-    std::map<Time, LoadReport> reports; ///< past reports, for reportLag
+    std::map<Time, LoadReport> reports; ///< past load reports, for HarnessSettings::reportLag
 };
 
 /// Number of routers, latencies and seed of a RouterHarness.
--- a/testsuite/bad-input/bad_input_test.cpp
+++ b/testsuite/bad-input/bad_input_test.cpp
@@ -48,7 +48,7 @@
 
 std::string rawCompletion(const std::string &body)
 {
-    // The longest permitted deadline, so that the request does not exceed it.
+    // The longest permitted deadline, so that the request does not expire during the test.
     return "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer t\r\n"
            "Balsamloft-Deadline-Ms: 600000\r\nContent-Length: "
            + std::to_string(body.size()) + "\r\n\r\n" + body;
--- a/testsuite/claims/claims_test.cpp
+++ b/testsuite/claims/claims_test.cpp
@@ -61,7 +61,7 @@
 TEST_CASE("a call succeeds if the answer to its claim is lost", "[process][claims][failure]")
 {
     // The claim takes effect, but the platform's answer is lost. The instance must read the row and
-    // recognize its own nonce, or it would refuse its own call as a duplicate.
+    // recognize the nonce that it wrote. Otherwise it would refuse this call as a duplicate.
     Fleet fleet;
     startFleet(fleet);
     fleet.injectFaults(fleet.platform(), {{"lose_answers", 1}, {"lose_from", "claims"}});
@@ -76,7 +76,7 @@
           "[process][claims][failure]")
 {
     // The instance is killed after its claim took effect and before it sent the call. Other
-    // instances cannot distinguish this from an executed call, so the retry is answered with
+    // instances cannot distinguish this case from an executed call, so the retry is answered with
     // "unknown" and not executed.
     Fleet fleet;
     startFleet(fleet);
--- a/testsuite/common/feedtables.h
+++ b/testsuite/common/feedtables.h
@@ -1,8 +1,8 @@
 /// \file
 /// Versioned tables of a fake store that uses the stand-in protocol. All tables share one version
 /// counter, the write history answers queries for changes since a version, and commits are
-/// conditional on row versions. Holds state only: transport, delays and faults are up to each fake
-/// store.
+/// conditional on row versions. The class holds state only; each fake store adds transport, delays
+/// and faults.
 
 #pragma once
 
@@ -48,7 +48,7 @@
 
     struct Table
     {
-        std::map<std::string, Row> rows; ///< by key, last write only
+        std::map<std::string, Row> rows; ///< last write of each key
         std::vector<Row> history; ///< all writes and deletions, oldest first
     };
 
--- a/testsuite/common/fleet.h
+++ b/testsuite/common/fleet.h
@@ -41,7 +41,7 @@
 Reply send(const std::string &address, const std::string &method, const std::string &target,
            const std::string &body = {}, const Headers &headers = {});
 
-/// A request of sendAll().
+/// A request for sendAll() to send.
 struct Call
 {
     std::string address;
--- a/testsuite/common/process.h
+++ b/testsuite/common/process.h
@@ -24,7 +24,7 @@
     Process &operator=(const Process &) = delete;
 
     /// Waits until the output matches \a pattern and returns the first group, or the whole match if
-    /// there is none. Throws if the process exits first or waitUntil() times out.
+    /// the pattern has no group. Throws if the process exits first or waitUntil() times out.
     std::string waitFor(const std::string &pattern);
 
     void signal(int number);
--- a/testsuite/failing-stages/failing_stages_test.cpp
+++ b/testsuite/failing-stages/failing_stages_test.cpp
@@ -71,8 +71,8 @@
 
 TEST_CASE("late answers of an engine paused past all timeouts are dropped", "[process][failure]")
 {
-    // The probe on a new connection shows that the engine, not a connection, has failed. When the
-    // engine resumes, it answers steps of abandoned attempts; those answers are dropped.
+    // A probe on a new connection fails too, so the engine has failed and not just a connection.
+    // When the engine resumes, it answers steps of abandoned attempts; those answers are dropped.
     Fleet fleet;
     startFleet(fleet, 2, 5000);
     checkAllComplete(streamDuring(fleet, 20, "e01", [&] {
@@ -88,8 +88,9 @@
 TEST_CASE("streams continue if open connections go silent while new ones work",
           "[process][failure]")
 {
-    // The engine's answers on open connections are lost without an error; new connections work. The
-    // probe distinguishes this from a failed engine, and the open connections are not used again.
+    // The engine's answers on open connections are lost without an error; new connections work. A
+    // probe on a new connection succeeds, so the engine is not treated as failed. The open
+    // connections are not used again.
     Fleet fleet;
     startFleet(fleet, 1, 3000);
     checkAllComplete(streamDuring(fleet, 8, "e01", [&] {
--- a/testsuite/lease/lease_test.cpp
+++ b/testsuite/lease/lease_test.cpp
@@ -85,7 +85,7 @@
         fleet.daemon(first).process->signal(SIGCONT);
         REQUIRE(waitUntil([&] { return !holdsLease(fleet.daemon(first)); }));
         CHECK(holdsLease(fleet.daemon(second)));
-        // The second holder may not have read the first one's placement yet.
+        // The second holder may not have read the placement of the first holder yet, so wait.
         CHECK(waitUntil([&] { return serves(fleet, second); }));
         for (const auto *engine : {"f1", "f2"}) {
             const auto numbers = fencingNumbers(fleet, engine);
--- a/testsuite/planned-stop/planned_stop_test.cpp
+++ b/testsuite/planned-stop/planned_stop_test.cpp
@@ -26,7 +26,8 @@
     std::thread stopThread;
     const auto replies = sendAll(calls, [&] {
         stopThread = std::thread([&] {
-            // All requests have arrived and none has finished.
+            // When the first engine has executed more than 50 steps, all requests have arrived and
+            // none has finished.
             waitUntil([&] { return fleet.log("e00").at("steps").as_array().size() > 50; });
             process.signal(SIGTERM);
             process.waitFor("not ready from now on");
--- a/testsuite/soak/record.h
+++ b/testsuite/soak/record.h
@@ -53,8 +53,8 @@
     void checkBody(const std::string &request, const Exchange &exchange,
                    std::vector<std::string> &violations) const;
 
-    std::map<std::string, std::vector<std::string>>
-        m_executed; ///< endpoints that executed each request
+    /// Endpoints that executed each request.
+    std::map<std::string, std::vector<std::string>> m_executed;
     std::map<std::string, Exchange> m_received;
     std::map<std::string, Clock::time_point> m_leavingAt;
     std::vector<std::string> m_crashed;
--- a/testsuite/soak/soak.h
+++ b/testsuite/soak/soak.h
@@ -1,6 +1,7 @@
 /// \file
 /// Runs instances of `balsamloft-entry` as real processes, with callers that reuse their
-/// connections, while overlapping series of random faults are injected into processes and links.
+/// connections, while overlapping series of random faults are injected into the
+/// instances, the store, the links and the endpoints.
 
 #pragma once
 
@@ -22,7 +23,7 @@
 };
 
 /// Runs one seed. The seed determines the faults, their times and durations, but not the timing of
-/// the machine, so runs with the same seed are similar and not identical.
+/// the machine, so runs with the same seed are similar but not identical.
 class Soak
 {
 public:
