--- a/src/bench/decision_bench.cpp
+++ b/src/bench/decision_bench.cpp
@@ -1,5 +1,5 @@
-// Cost of one routing decision by number of candidates. With two arguments
-// (endpoints, decisions) it runs without the benchmark library, so that an
+// Measures the cost of one routing decision by number of candidates. With two arguments
+// (endpoints, decisions) the program runs without the benchmark library, so that an
 // instruction count is reproducible:
 // valgrind --tool=callgrind build/bin/decision_bench 790 1000
 
--- a/src/bench/scenarios.cpp
+++ b/src/bench/scenarios.cpp
@@ -246,8 +246,8 @@
     RouterHarness harness(settings, harnessConfig("model", 1, engines, list), engines);
     const Time start = harness.now();
     const Time end = start + std::chrono::seconds(20);
-    // Team 0 offers twice the capacity of all engines; the other teams
-    // together offer 70 % of the capacity, and each of them offers less than its share.
+    // Team 0 offers twice the capacity of all engines. The other teams together offer 70 %
+    // of the capacity, and each of them offers less than its share.
     const double requestCapacity = capacity(engines) / 16;
     std::uint64_t number = 0;
     const auto make = [&](std::string team) {
--- a/src/fakes/load_tool.cpp
+++ b/src/fakes/load_tool.cpp
@@ -169,7 +169,7 @@
 
     HttpClient m_client;
     std::vector<std::string> m_engines;
-    std::vector<double> m_perToken; ///< microseconds
+    std::vector<double> m_perToken; ///< microseconds per token of each complete answer
     Time m_startedAt {};
     int m_started = 0;
     int m_failed = 0;
--- a/src/fakes/propagationemulator.cpp
+++ b/src/fakes/propagationemulator.cpp
@@ -11,10 +11,12 @@
 
 constexpr Duration Step {10'000};
 constexpr Duration StoreHoldTime {700'000}; ///< how long the store holds a long poll
-constexpr Duration PeerHoldTime {300'000}; ///< how long an instance holds a query
-constexpr Duration FirstPeerHoldTime {100'000}; ///< hold time for an instance without data
-constexpr Duration StoreTimeout {
-    1'200'000}; ///< time after which a call to an unresponsive store fails
+/// How long an instance holds a query from an instance that has data.
+constexpr Duration PeerHoldTime {300'000};
+/// How long an instance holds a query from an instance without data.
+constexpr Duration FirstPeerHoldTime {100'000};
+/// Time after which a call to an unresponsive store fails.
+constexpr Duration StoreTimeout {1'200'000};
 constexpr Duration RetryPause {100'000};
 
 std::string nameOf(std::size_t index)
@@ -124,8 +126,8 @@
         instance.impairedAt = m_now;
 }
 
-/// Bytes that arrive at an instance in one step, limited by its own link and by its share of the
-/// sender's link.
+/// Bytes that arrive at \a instance in one step, limited by the link of \a instance and by the
+/// share of the sender's link that this answer gets.
 double PropagationEmulator::bytesPerStep(const Instance &instance) const
 {
     const Instance &source = m_instances[instance.source];
@@ -221,7 +223,7 @@
     return m_now >= limits.deadline(instance.queriedAt, instance.lastDataAt);
 }
 
-/// Ends the current query. The rest of an answer in transit is discarded.
+/// Ends the current query and discards the rest of an answer in transit.
 void PropagationEmulator::endQuery(Instance &instance)
 {
     if (instance.answer && instance.answer->hasRows)
--- a/testsuite/cost/main.cpp
+++ b/testsuite/cost/main.cpp
@@ -149,7 +149,7 @@
         std::ifstream stat(directory + "stat");
         std::string field;
         for (int i = 1; i <= 15 && stat >> field; ++i)
-            if (i >= 14) // utime and stime
+            if (i >= 14) // fields 14 and 15: utime and stime
                 sample.cpuMs += 1000 * std::atof(field.c_str()) / double(::sysconf(_SC_CLK_TCK));
         std::ifstream statm(directory + "statm");
         double pages = 0;
--- a/testsuite/soak/main.cpp
+++ b/testsuite/soak/main.cpp
@@ -1,5 +1,5 @@
-// Runs the soak test for one or more seeds and prints a line for each. For a failing seed it also
-// prints the violated guarantees and the injected faults. Exits with 1 if a seed failed.
+// Runs the soak test for one or more seeds and prints a line for each seed. For a failing seed
+// it also prints the violated guarantees and the injected faults. Exits with 1 if a seed failed.
 
 #include "soak.h"
 
--- a/testsuite/soak/soak.cpp
+++ b/testsuite/soak/soak.cpp
@@ -25,12 +25,13 @@
 /// Time limit for an instance to serve requests again. Ample for a slow machine, so only a hang
 /// reaches the limit.
 constexpr auto RecoveryTimeout = std::chrono::seconds(60);
-/// How long an unlisted endpoint keeps running; exceeds the time after which it must get no new
-/// requests.
+/// How long an unlisted endpoint keeps running. Exceeds the time after which an unlisted endpoint
+/// must get no new requests.
 constexpr Milliseconds UnlistedRunTime {13'000};
 /// Lifetime of an entry that is not renewed.
 constexpr Milliseconds EntryLifetime {2'500};
-/// Endpoints that one request may crash while instances can exchange crash records.
+/// Number of endpoints that one request may crash in a run without other faults, in which the
+/// instances can exchange crash records.
 constexpr std::size_t MaxCrashes = 6;
 constexpr int NormalExit = 0;
 constexpr int KilledExit = 128 + SIGKILL;
