--- a/src/fakes/controlharness.h
+++ b/src/fakes/controlharness.h
@@ -21,7 +21,7 @@
     std::size_t nodes = 8;
     double loss = 0; ///< fraction of peer messages that are lost
     bool gossip = true; ///< run the memberships, which also spread configuration heads
-    bool polling = true; ///< read configuration heads from the platform
+    bool polling = true; ///< read configuration heads from the platform periodically
     Duration latency {1'000};
     Duration tableLatency {3'000};
     MembershipSettings membership;
--- a/src/fakes/routerharness.h
+++ b/src/fakes/routerharness.h
@@ -43,7 +43,8 @@
     }
     EngineModel model;
     std::string domain;
-    std::uint32_t epoch = 0; ///< increased by kill(): steps of earlier epochs are dropped
+    /// Increased by kill(). Steps sent in an earlier epoch fail, and their answers are dropped.
+    std::uint32_t epoch = 0;
     bool killed = false; ///< refuses and resets connections
     bool frozen = false; ///< accepts data, but neither steps nor probes are answered
     std::uint32_t answersToDrop = 0; ///< how many of the next answers are lost
--- a/testsuite/configuration/configuration_test.cpp
+++ b/testsuite/configuration/configuration_test.cpp
@@ -127,9 +127,9 @@
 TEST_CASE("new instances get the configuration from another domain during a platform outage",
           "[process][failure]")
 {
-    // All instances of a domain are replaced during the outage. The new ones become ready once they
-    // have fetched the configuration from the other domain, so the version that a replaced instance
-    // committed is not lost.
+    // All instances of a domain are replaced during the outage. The new instances become ready
+    // once they have fetched the configuration from the other domain. The version that a replaced
+    // instance committed is therefore not lost.
     Fleet fleet;
     fleet.startChains(1);
     fleet.startDaemon("i1", "a");
--- a/testsuite/settings/settings_test.cpp
+++ b/testsuite/settings/settings_test.cpp
@@ -15,7 +15,7 @@
     std::string output;
 };
 
-/// Runs balsamloftd with \a extra flags, added to the required ones if \a withRequired is set.
+/// Runs balsamloftd with the flags \a extra and, if \a withRequired is set, the required flags.
 Outcome run(std::vector<std::string> extra, const std::vector<std::string> &environment = {},
             bool withRequired = true)
 {
--- a/testsuite/soak/platform.cpp
+++ b/testsuite/soak/platform.cpp
@@ -30,7 +30,7 @@
            + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// Splits a request target at its slashes, without the leading one.
+/// Splits a request target at its slashes. The leading slash is skipped.
 std::vector<std::string> partsOf(std::string_view target)
 {
     std::vector<std::string> parts(1);
--- a/testsuite/soak/platform.h
+++ b/testsuite/soak/platform.h
@@ -32,7 +32,7 @@
     bool silent = false; ///< does not answer
     bool losesAnswers = false; ///< closes the connection after processing a request
     Milliseconds slow {0}; ///< delay of each answer
-    /// Answers 410 to queries for changes since any version before the current one.
+    /// From now on, answers 410 to queries for changes since a version before the current one.
     void forgetHistory() { m_historyStart = m_tables.version(); }
     void heal();
 
