--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -394,7 +394,8 @@
     });
 }
 
-/// Disconnects the caller if no event has arrived since \a eventsLeft events were outstanding.
+/// Disconnects the caller if it still waits for \a eventsLeft events: then none has arrived since
+/// this check was scheduled.
 void CrashSimulation::leaveIfIdle(std::size_t instance, FlightId flight, std::uint64_t eventsLeft)
 {
     const auto caller = m_callers[instance].find(flight);
@@ -431,8 +432,8 @@
     nextEvent(run);
 }
 
-/// Crashes an engine as the effect of the run's request, also if the attempt was abandoned after
-/// the engine started it.
+/// Crashes or hangs an engine as the effect of the run's request. The first engine is affected even
+/// if the attempt was abandoned after that engine started it; the second engine is not.
 void CrashSimulation::applyCrash(const std::shared_ptr<Run> &run)
 {
     const bool middle = m_settings.crashKind == CrashKind::CrashesMiddle;
@@ -469,7 +470,8 @@
     after(m_settings.restartDelay, [this, engine] { crashEngine(engine); });
 }
 
-/// Crashes the second engine of paths. Attempts through it are stalled at their first engines.
+/// Crashes \a engine, the second engine of some paths. Attempts on these paths are then stalled at
+/// their first engines.
 void CrashSimulation::crashMiddle(std::size_t engine)
 {
     for (const auto &run : m_runs)
--- a/src/fakes/crashsimulation.h
+++ b/src/fakes/crashsimulation.h
@@ -63,9 +63,9 @@
     /// Crashes a random engine that runs a request.
     void crashAnyEngine();
 
-    /// Adds the same crash records for the crashing request and \a others harmless requests, and
-    /// shares them with all instances: three engines that crashed now. The callers of the
-    /// harmless requests retry until they are served.
+    /// Shares crash records with all instances, as if three engines had just crashed while they ran
+    /// the crashing request and \a others harmless requests. The callers of the harmless requests
+    /// retry until they are served.
     void addSuspects(std::size_t others);
 
     /// Replaces all instances by new processes without state.
@@ -77,8 +77,8 @@
     /// requests, by the one with the most crashes.
     std::vector<Time> crashes() const;
 
-    /// How often a crashing request was sent to a live or crashed engine more than \a after its
-    /// third crash; the maximum over all crashing requests.
+    /// How often a crashing request was sent, to a live or crashed engine, once the duration \a
+    /// after had passed since its third crash. This is the maximum over all crashing requests.
     std::size_t sendsAfterThirdCrash(Duration after) const;
 
     /// Outcomes of the harmless requests.
@@ -88,7 +88,7 @@
         std::size_t passed = 0;
         std::size_t refused = 0;
         std::size_t broken = 0; ///< failed or truncated
-        std::size_t callersLeft = 0; ///< without an event for the caller's patience
+        std::size_t callersLeft = 0; ///< their callers disconnected, see patience
         std::size_t quarantined = 0;
     };
     const Harmless &harmless() const { return m_harmless; }
@@ -131,7 +131,7 @@
         bool crashing = false;
         std::uint64_t eventsLeft = 0;
         std::uint32_t retries = 1;
-        std::optional<Time> suspectedSince; ///< by addSuspects()
+        std::optional<Time> suspectedSince; ///< set by addSuspects()
     };
 
     /// An action at a point in virtual time; \a number orders those at the same time.
--- a/src/fakes/relayharness.h
+++ b/src/fakes/relayharness.h
@@ -1,6 +1,6 @@
 /// \file
-/// Runs a Relay in virtual time against engines, plain endpoints and one route of each kind.
-/// The test sends the answers of the endpoints.
+/// Runs a Relay in virtual time with engines, plain endpoints and one route of each kind. The test
+/// sends the answers of the endpoints.
 
 #pragma once
 
--- a/src/include/balsamloft/enginetracker.h
+++ b/src/include/balsamloft/enginetracker.h
@@ -42,8 +42,8 @@
 struct EngineReports
 {
     std::vector<EngineState> changed;
-    /// By domain: the time at which the domain's engines that are not in \a changed were still
-    /// in the previously sent state.
+    /// By domain: a time at which all engines of the domain that are not in \a changed still had
+    /// the state that was sent before.
     std::map<std::string, Time> asOf;
 };
 
@@ -97,10 +97,11 @@
     /// Removes endpoints that are not in \a fleet and have no own requests.
     void removeUnlisted(const FleetSnapshot &fleet);
 
-    /// An own request starts on the endpoint. \a startsHere: its path begins there.
+    /// A request of this instance starts on the endpoint. \a startsHere: the request's path begins
+    /// at this endpoint.
     void requestStarted(const std::string &id, double tokenLayers, bool startsHere);
 
-    /// An own request leaves the endpoint, with the arguments of requestStarted().
+    /// A request of this instance leaves the endpoint. The arguments are those of requestStarted().
     void requestFinished(const std::string &id, double tokenLayers, bool startsHere);
 
     /// The endpoint did not answer, or broke off an answer.
@@ -121,7 +122,8 @@
     /// Counts a finished request for failureShare().
     void recordOutcome(const std::string &id, bool failed, Time now);
 
-    /// The endpoint in \a domain reported \a running requests whose paths begin there.
+    /// The endpoint \a id in \a domain reported \a running requests whose paths begin at this
+    /// endpoint.
     void updateWorkRatio(const std::string &id, const std::string &domain, std::uint32_t running);
 
     /// An engine's state, queried by this instance or another one.
@@ -133,8 +135,8 @@
     /// Sets the number of instances that send requests to a domain's engines.
     void setSharingInstances(double sharingInstances) { m_sharingInstances = sharingInstances; }
 
-    /// An own request passes from the domain \a from to \a to and uses the link between them
-    /// for \a transferMs.
+    /// A request of this instance passes from domain \a from to domain \a to. It uses the link
+    /// between the two domains for \a transferMs.
     void recordTransfer(const std::string &from, const std::string &to, double transferMs,
                         Time now);
 
@@ -146,20 +148,20 @@
     /// Number of instances that send requests to a domain's engines.
     double sharingInstances() const { return m_sharingInstances; }
 
-    /// Estimated utilization of the link between two domains: recent own transfers times the
-    /// number of instances.
+    /// Estimated utilization of the link between two domains: recent transfers of this instance
+    /// times the number of instances.
     double linkLoad(std::string_view from, std::string_view to, Time now) const;
 
     const EngineEstimate *find(std::string_view id) const;
     bool suspected(std::string_view id, Time now) const;
     bool usable(std::string_view id, Time now) const;
 
-    /// Estimated ratio of all requests in \a domain to own requests there. Requests of other
+    /// Estimated ratio of all requests in \a domain to those of this instance. Requests of other
     /// instances are not visible, but engines report how many paths begin at them in total.
     double workRatio(const std::string &domain) const;
 
     /// Load of an engine in \a domain: its last report and the requests sent since. Without a
-    /// recent report, own requests times workRatio().
+    /// recent report, the requests of this instance times workRatio().
     EngineLoad load(std::string_view id, const std::string &domain, Time now) const;
 
     /// Recent share of failed requests, between 0 and 1.
@@ -175,7 +177,7 @@
     std::map<std::string, double> m_workRatios; ///< by domain
     double m_sharingInstances = 3;
 
-    /// Own use of the link between two domains.
+    /// Use of the link between two domains by requests of this instance.
     struct LinkUse
     {
         double ms = 0; ///< decaying sum
--- a/src/include/balsamloft/gapfiller.h
+++ b/src/include/balsamloft/gapfiller.h
@@ -14,8 +14,8 @@
 /// Delays and headroom of a GapFiller.
 struct GapFillerSettings
 {
-    /// How long a gap lasts before it is closed: less than loading layers takes, and longer
-    /// than the report of a load that has just finished takes to arrive.
+    /// How long a gap lasts before it is closed. Shorter than the time to load layers, and longer
+    /// than the time in which the report of a finished load arrives.
     Duration gapDelay {150'000};
     /// How long an empty engine is left to the lease holder, which assigns layers to it at
     /// once. Counted from when the engine is first seen while there is a gap.
@@ -24,7 +24,8 @@
     double emptyEngineHeadroom = 0.15; ///< the same for an engine that held no layers
     /// The same for an empty engine that takes more layers than the gap has.
     double beyondGapHeadroom = 0.4;
-    Duration orderLifetime {13'000'000}; ///< how long an unanswered order may take effect
+    /// How long after it was sent an unanswered order may take effect.
+    Duration orderLifetime {13'000'000};
     Duration refusalBackoff {600'000}; ///< how long an engine that refused gets no order
 };
 
@@ -35,10 +36,10 @@
 /// and while the store is unavailable. An order that is carried out late may undo a newer
 /// one; memory is not exceeded even then, and the gap is closed again.
 ///
-/// Needed after the crash of an engine that was the only holder of its layers, which leaves
-/// the domain without a complete path. A move has to wait 3 to 10 s for the requests that use the
-/// released layers; an addition loads a few layers in one or two seconds. While engines
-/// crash and the lease or the store is unavailable, this gains 0.015 of the total value of
+/// A GapFiller is needed after the crash of an engine that was the only holder of its layers, which
+/// leaves the domain without a complete path. A move has to wait 3 to 10 s for the requests that
+/// use the released layers; an addition loads a few layers in one or two seconds. While engines
+/// crash and the lease or the store is unavailable, a GapFiller gains 0.015 of the total value of
 /// the callers' requests; otherwise it gains nothing.
 class GapFiller
 {
--- a/src/include/balsamloft/layerplanner.h
+++ b/src/include/balsamloft/layerplanner.h
@@ -25,10 +25,11 @@
     /// engines register: a plan for only some of them would mix slow and fast engines in one
     /// replica.
     Duration startupDelay {1'450'000};
-    Duration gapDelay {700'000}; ///< before moves close a gap, which may close without them
+    /// How long a gap lasts before moves close it. It may close without moves.
+    Duration gapDelay {700'000};
     /// Delay before moves close a gap that additions by a GapFiller can close. Additions need no
     /// lease, start at once and take a second or two. Other gaps get the shorter gapDelay, because
-    /// waiting this long for them costs 0.020 of the total value of the callers' requests.
+    /// waiting for additionDelay there costs 0.020 of the total value of the callers' requests.
     Duration additionDelay {3'000'000};
     /// Time after which a gap that moves don't close leads to a new plan for the domain. Such
     /// a plan moves many engines at once, and none of them serves requests meanwhile. Moves
@@ -36,7 +37,8 @@
     /// path for 9 s.
     Duration replanAfter {6'000'000};
     Duration moveInterval {2'500'000}; ///< between two moves that close no gap
-    Duration orderLifetime {13'000'000}; ///< how long an unanswered order may take effect
+    /// How long after it was sent an unanswered order may take effect.
+    Duration orderLifetime {13'000'000};
     double minGain = 120; ///< least cost reduction of a move that closes no gap
 };
 
@@ -91,7 +93,8 @@
         std::size_t engines = 0;
         Time changedAt {};
         std::optional<Time> gapSince;
-        std::optional<Time> filledSince; ///< an empty engine carries out another instance's order
+        /// Since when an empty engine carries out another instance's order.
+        std::optional<Time> filledSince;
         Time lastMoveAt {};
     };
 
--- a/src/include/balsamloft/pathchooser.h
+++ b/src/include/balsamloft/pathchooser.h
@@ -34,39 +34,39 @@
 struct PathSettings
 {
     double hopMs = 0.6; ///< added to each token by each further engine
-    /// Factor on the cost of paths in another domain than the caller's. At 1.4, the instances
-    /// of all domains chose the same fastest path at the same time, and 87 instances gained
-    /// 0.59 of the total value of the callers' requests, against 0.65 at 2.
+    /// Factor on the cost of paths in another domain than the caller's. With 87 instances, a factor
+    /// of 2 gains 0.65 of the total value of the callers' requests, and 1.4 gains 0.59: at 1.4, the
+    /// instances of all domains choose the same fastest path at the same time.
     double otherDomainFactor = 2;
     double otherDomainPenaltyMs = 40; ///< added to the cost of such paths
-    /// Cost of each change of domain inside a path, in addition to the transfer time. Where
-    /// each domain holds one replica of the model, the loss of one engine leaves its domain
-    /// without a complete path. With two changes of domain, a path runs the missing layers in
-    /// another domain, and the domain's other engines stay in use. This gains 0.643 of the
-    /// requests' value, against 0.634 for paths inside one domain only.
+    /// Cost of each change of domain inside a path, in addition to the transfer time. Where each
+    /// domain holds one replica of the model, the loss of one engine leaves its domain without a
+    /// complete path. With two changes of domain, a path runs the missing layers in another domain,
+    /// and the domain's other engines stay in use. Such paths gain 0.643 of the requests' value,
+    /// against 0.634 for paths inside one domain only.
     double domainChangePenaltyMs = 200;
-    /// Utilization up to which a link between two domains gets new paths. Transfers are
-    /// serialized, so beyond it each one waits for many others. Raising the cost of busier
+    /// Utilization up to which a link between two domains gets new paths. Transfers are serialized,
+    /// so above this utilization each transfer waits for many others. Raising the cost of busier
     /// links instead of excluding them loses 0.029 of the requests' value.
     double maxLinkLoad = 0.5;
-    /// Noise on engines' costs: the standard deviation of the logarithm of a cost is this
-    /// times the square root of the number of instances that use the domain's engines. All
-    /// of them see the same loads, up to a second old. Without noise, all requests of that
-    /// second go to the path that looks best and exceed its memory: with 59 instances in each
-    /// domain and 1.5 times the typical load, engines refused 494 times without noise and 49 times
-    /// with it (4,451 requests), and the share of requests on time rose from 0.85 to 0.98. Few
-    /// instances observe enough of the load themselves, so they need less noise.
+    /// Noise on engines' costs: the standard deviation of the logarithm of a cost is this times the
+    /// square root of the number of instances that use the domain's engines. All these instances
+    /// see the same loads, which are up to a second old. Without noise, all requests of that second
+    /// go to the path that looks best and exceed its memory: with 59 instances in each domain and
+    /// 1.5 times the typical load, engines refused 494 times without noise and 49 times with it
+    /// (4,451 requests), and the share of requests on time rose from 0.85 to 0.98. If only a few
+    /// instances share the engines, each one observes much of the load itself and needs less noise.
     double costNoisePerRoot = 0.06;
     double maxCostNoise = 0.5; ///< more would choose slow paths needlessly
-    /// Time of a path whose cost equals its time. Costs grow with the square root of the time,
-    /// because an answer on time is worth as much as a faster one. With costs in proportion to
-    /// time, nearly all requests of a domain went to its few fast engines: 4 of 190 engines
-    /// gave 70 % of the refusals, while slower ones that would have answered on time were half
-    /// empty. Under heavy load with faults, the square root gained 0.64 instead of 0.38 of the
+    /// A path that takes this time has a cost equal to its time. Costs grow with the square root of
+    /// the time, because an answer on time is worth as much as a faster one. With costs in
+    /// proportion to time, nearly all requests of a domain went to its few fast engines: 4 of 190
+    /// engines gave 70 % of the refusals, while slower ones that would have answered on time were
+    /// half empty. Under heavy load with faults, the square root gained 0.64 instead of 0.38 of the
     /// requests' value.
     double referenceMs = 800;
     double fullnessWeight = 2; ///< weight of an engine's fullness in its cost
-    double maxReportedFullness = 2; ///< beyond it, an engine that reports its load is full
+    double maxReportedFullness = 2; ///< an engine with a load report counts as full above this
     double maxEstimatedFullness = 3; ///< the same for an engine whose load is only estimated
 };
 
--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -37,8 +37,8 @@
 /// Whether a request may be sent to endpoints.
 enum class SendPermission : std::uint8_t {
     Allowed,
-    TrialOnly, ///< only with a permit, of which the fleet grants one at a time, see TrialPermits
-    Deferred, ///< until the records of other instances, which may show another cause, have arrived
+    TrialOnly, ///< only with a permit; one is granted at a time, see TrialPermits
+    Deferred, ///< until the records of other instances have arrived: they may show another cause
     Quarantined,
 };
 
@@ -47,19 +47,19 @@
 {
     /// Crashes that quarantine a request, if no other request explains them.
     std::size_t crashesToQuarantine = 3;
-    /// Crashes that quarantine a request even if other requests were on the same endpoints, or
-    /// it succeeded shortly before.
+    /// Crashes that quarantine a request even if other requests were on the same endpoints, or the
+    /// request succeeded shortly before.
     std::size_t crashesToForceQuarantine = 5;
-    /// Maximum time from the start of a request at an endpoint to a crash that the request
-    /// causes there, also if the attempt was abandoned meanwhile.
+    /// A request crashes an endpoint at most this long after the endpoint started it. The crash can
+    /// occur even if the attempt was abandoned meanwhile.
     Duration crashDelay {200'000};
     /// The endpoint at which an attempt stalls is queried within this time. A missing answer
     /// to a later query is no evidence of a crash.
     Duration stallQueryWindow {1'000'000};
     /// Time after a crash by which the records of all instances have been received.
     Duration propagationDelay {2'000'000};
-    /// Crashes from which a request is only sent as a trial, and attempts without a permit are
-    /// abandoned.
+    /// With this many crashes, a request is only sent as a trial, and its attempts without a permit
+    /// are abandoned.
     std::size_t crashesToRequireTrial = 2;
     Duration retention {600'000'000}; ///< how long a crash counts against a request
     /// A single crash is published after this time. Requests that were only on the endpoint by
@@ -69,18 +69,18 @@
     Duration successWindow {10'000'000};
     std::size_t maxDigests = 1024; ///< suspected requests stored at a time
     std::size_t maxSuccesses = 1024; ///< recent successes stored
-    /// Records that instances publish together. Beyond that, only those of requests with
-    /// several crashes are published.
+    /// Once all instances together have published this many records, only records of requests with
+    /// several crashes are added.
     std::size_t maxShared = 1000;
     std::size_t maxPerUpdate = 40; ///< records added by one update
 };
 
 /// Stores which requests were on endpoints that crashed, here and at other instances.
 ///
-/// A single crash proves nothing against a request: every request on the endpoint is
-/// interrupted by it. A request is quarantined after crashes of several endpoints, without a
-/// success between them, if no other request explains these crashes. A request explains a
-/// crash if it was on the endpoint too and has enough crashes to be quarantined.
+/// A single crash proves nothing against a request: every request on the endpoint is interrupted by
+/// it. A request is quarantined after crashes of several endpoints, without a success between them,
+/// if no other request explains these crashes. Another request explains a crash if it was also on
+/// the crashed endpoint and has enough crashes to be quarantined.
 class Quarantine
 {
 public:
@@ -88,12 +88,12 @@
 
     // Commands
 
-    /// \a endpoint broke an attempt of the request early. It must be queried to find out
+    /// \a endpoint broke an attempt of the request early. The endpoint must be queried to find out
     /// whether it crashed.
     void attemptBroken(const std::string &digest, const std::string &endpoint, Time now);
 
-    /// This instance abandoned an attempt of the request that was not yet proven harmless. If
-    /// \a endpoint had just started it, the endpoint may still crash.
+    /// This instance abandoned an attempt of the request that was not yet proven harmless. The
+    /// endpoint may still crash if it had just started the attempt.
     void attemptAbandoned(const std::string &digest, const std::string &endpoint, Time now);
 
     /// An attempt is stalled at \a endpoint, in the middle of its path. The endpoint does not
@@ -103,8 +103,8 @@
     /// \a endpoint answered a query sent at \a queriedAt, so no earlier interruption was a crash.
     void endpointAnswered(const std::string &endpoint, Time queriedAt);
 
-    /// Data from \a endpoint was received. It may have been sent before a crash and read after
-    /// another attempt broke, so it does not clear broken attempts.
+    /// Data from \a endpoint was received. The data may have been sent before a crash and read
+    /// after the crash broke another attempt, so it clears only abandoned attempts.
     void endpointSentData(const std::string &endpoint, Time now);
 
     /// The process of \a endpoint has certainly terminated.
@@ -135,7 +135,7 @@
     /// Number of endpoints that crashed with the request.
     std::size_t crashes(const std::string &digest, Time now) const;
 
-    /// Whether unconfirmed crashes, if confirmed, would give the request at least two.
+    /// Whether the request would have at least two crashes if its unconfirmed ones were confirmed.
     bool awaitsConfirmation(const std::string &digest, Time now) const;
 
     /// Whether the request may be sent to an endpoint.
@@ -171,7 +171,7 @@
         Stage stage = Stage::Unconfirmed;
         Interruption interruption = Interruption::Broken;
         bool observedHere = false; ///< by this instance
-        Time clearedIfAliveAt {}; ///< an endpoint alive at this time or later did not crash
+        Time clearedIfAliveAt {}; ///< an endpoint that is alive then or later did not crash
     };
     using Crashes = std::map<std::string, Crash, std::less<>>; ///< by endpoint
 
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -1,7 +1,7 @@
 /// \file
-/// Forwards requests as a whole, in balsamloft-entry: chooses an endpoint or a path of engines
-/// for each attempt, decides on retries, and decides how each request finishes. Where
-/// balsamloftd executes requests step by step on chains of engines, router.h is used instead.
+/// Forwards requests as a whole, in balsamloft-entry: chooses an endpoint or a path of engines for
+/// each attempt, decides on retries, and decides how each request finishes. balsamloftd, which
+/// executes requests step by step on chains of engines, uses router.h instead.
 
 #pragma once
 
@@ -46,7 +46,7 @@
     int status = 0;
     bool notExecuted = false; ///< the endpoint guarantees that it did not execute the request
     bool provenExecuted = false; ///< carries the endpoint's proof that it executed the request
-    std::string_view faultyAddress; ///< the engine that failed, if not the one that answered
+    std::string_view faultyAddress; ///< address of the engine that failed, if another one answered
     std::optional<std::uint32_t> running; ///< requests in progress at the endpoint
     /// Requests per second that the endpoint accepts from all instances together; empty: no
     /// limit.
@@ -61,7 +61,7 @@
     FlightId flight = 0;
     std::uint32_t attempt = 0;
     std::string endpoint; ///< id
-    std::string name; ///< in the list of endpoints; the endpoint expects it in requests
+    std::string name; ///< that the endpoint is listed under; the endpoint expects it in requests
     std::string address;
     std::vector<PathPart> path; ///< empty for a plain endpoint
     Duration timeLeft {};
@@ -107,7 +107,7 @@
     std::string reason;
 };
 
-/// Query an engine for its slowdown and for the engines that its requests are stalled at.
+/// Query how slow an engine is, and at which other engines its requests are stalled.
 struct QueryEngine
 {
     std::string endpoint;
@@ -163,7 +163,8 @@
     double streamReserve = 0.5; ///< share of the slack reserved for started streams
     /// Shortest pause of a stream after which its engine is queried.
     Duration queryAfterPause {250'000};
-    double queryAfterPauses = 4; ///< the same, as a multiple of the expected pause
+    /// The same as a multiple of the expected pause. The longer of the two applies.
+    double queryAfterPauses = 4;
     Duration queryInterval {350'000}; ///< minimum time between two queries to one engine
     Duration suspectPause {120'000}; ///< pause that moves a stream off a suspected engine
     Duration startTimeout {1'700'000}; ///< until the first event; then the request is moved
@@ -184,7 +185,8 @@
     std::uint32_t extraSends = 2; ///< sends beyond maxAttempts, for attempts that were not executed
     /// A request that produces events on one endpoint for this long is not the cause of crashes.
     Duration harmlessAfter {1'000'000};
-    /// Wait before the next request for a permit after one was refused for a busy endpoint.
+    /// Minimum time between two requests for a permit if the first one was refused because its
+    /// endpoint was busy.
     Duration trialRetryInterval {200'000};
     /// Cost noise for requests interrupted by a crash. It spreads them over the endpoints: if
     /// all went to the same one, the request that causes crashes could not be identified.
@@ -418,7 +420,7 @@
     FleetPtr m_fleet;
     FlightMap m_flights;
     std::map<std::string, RetryWindow, std::less<>> m_budgets; ///< by service
-    /// Numbers of instances in the last window.
+    /// Number of instances over time, in the last window.
     std::deque<std::pair<Time, std::size_t>> m_instanceCounts;
     std::map<std::string, Time, std::less<>> m_queriedAt;
     Time m_lastTick {};
--- a/src/include/balsamloft/trialpermits.h
+++ b/src/include/balsamloft/trialpermits.h
@@ -1,6 +1,6 @@
 /// \file
-/// Permits for trials of suspected requests. The fleet grants one per request and one per
-/// endpoint at a time.
+/// Permits for trials of suspected requests. At a time, at most one is granted for each request and
+/// for each endpoint.
 
 #pragma once
 
@@ -47,7 +47,7 @@
 {
     std::vector<TrialRow> rows; ///< with the versions to be checked
     std::vector<TrialRow> removed; ///< with the versions to be checked
-    std::optional<CrashRecord> crash; ///< not yet published; `at` is on the store's clock
+    std::optional<CrashRecord> crash; ///< to be published too; `at` is on the store's clock
 };
 
 /// The answer to a TrialRequest.
@@ -71,8 +71,9 @@
 {
     std::string holder; ///< unique to this process
     Duration validFor {5'000'000}; ///< lifetime of a permit
-    /// Time after the expiry of a permit by which a live holder has reported the outcome. Longer
-    /// than it takes to delist a crashed endpoint, so that the crash is detected.
+    /// How long after the expiry of a permit its holder, if alive, may still report the outcome.
+    /// Longer than it takes to delist a crashed endpoint, so that the missing endpoint shows the
+    /// crash.
     Duration margin {5'000'000};
     Duration retention {600'000'000}; ///< see QuarantineSettings
     std::uint32_t maxTrials = 3; ///< per content, if limited
@@ -81,9 +82,10 @@
 
 /// Grants permits by conditional writes to rows that all instances share.
 ///
-/// If each instance decided alone, hundreds of them would run a request that crashes endpoints
-/// as soon as trials of it are allowed. The row remains when its holder crashes: if the
-/// endpoint is gone too, its crash is still recorded.
+/// If each instance decided alone, hundreds of instances would run a request that crashes endpoints
+/// as soon as trials of it are allowed. A row remains after the process that holds the permit has
+/// crashed. If the endpoint of the trial is gone too, another instance records the endpoint's crash
+/// from the row.
 class TrialPermits
 {
 public:
--- a/src/libbalsamloft/crashingrequests_test.cpp
+++ b/src/libbalsamloft/crashingrequests_test.cpp
@@ -20,7 +20,7 @@
 /// The same if the request succeeded before.
 constexpr std::size_t MaxCrashesAfterSuccess = 5;
 
-/// Sends later than DetectionDelay that are tolerated, as trials.
+/// Number of sends after DetectionDelay that are tolerated because they are trials.
 constexpr std::size_t MaxLateSends = 3;
 
 FlightId submitSuspect(RelayHarness &harness, RequestKind kind = RequestKind::Stream)
@@ -33,7 +33,8 @@
     return {{"e1", {0, 8}}, {"e2", {0, 8}}, {"e3", {0, 8}}, {"e4", {0, 8}}, {"p1", {}}, {"p2", {}}};
 }
 
-/// Gives the relay \a crashes records of other instances, and waits until they are effective.
+/// Gives the relay as many crash records of other instances as \a crashes, and waits until the
+/// records are effective.
 void shareCrashes(RelayHarness &harness, int crashes)
 {
     std::vector<CrashRecord> records;
@@ -67,8 +68,8 @@
     CHECK(simulation.crashes().size() <= MaxCrashes);
 }
 
-// Guards against data that is read from another connection of a crashed engine after the crashing
-// request's connection broke, and is taken as proof that the engine is alive.
+// A crash breaks the connection of the crashing request first. Guards against taking data that is
+// read from another connection of the engine afterwards as proof that the engine is alive.
 TEST_CASE("a crash is recorded although the engine's connections break one after another")
 {
     CrashSimulationSettings settings;
@@ -123,7 +124,7 @@
     CHECK(simulation.crashes().size() <= MaxCrashes);
 }
 
-// Guards against hundreds of trials at the moment from which instances allow trials.
+// Guards against hundreds of instances that run a trial as soon as trials are allowed.
 TEST_CASE("trials of a suspected request do not increase with the number of instances")
 {
     CrashSimulationSettings settings;
@@ -140,8 +141,8 @@
     CHECK(simulation.waits().size() == 5);
 }
 
-// Guards against crashes that are not recorded because the first engine of the path is alive and
-// answers queries, while the request is moved from one second engine to the next.
+// Guards against crashes that are not recorded: the first engine of the path is alive and answers
+// queries, while the request is moved on to another second engine after each crash.
 TEST_CASE("a request that crashes engines in the middle of its path is blocked")
 {
     CrashSimulationSettings settings;
@@ -155,8 +156,8 @@
     checkBlocked(simulation, settings.instances);
 }
 
-// Guards against engines that hang one after another and are not recorded, as they do not
-// terminate.
+// Guards against a request that hangs one engine after another. A hung engine does not terminate,
+// so no crash would be recorded.
 TEST_CASE("a request that hangs its engines is blocked")
 {
     CrashSimulationSettings settings;
@@ -170,7 +171,8 @@
     checkBlocked(simulation, settings.instances);
 }
 
-// Guards against crashes by copies of the request that are queued at engines during detection.
+// Guards against crashes by copies of the request that are queued at engines while the crashes are
+// being attributed to it.
 TEST_CASE("copies of a crashing request at three instances are blocked as soon as a single one")
 {
     CrashSimulationSettings settings;
@@ -284,7 +286,7 @@
     CHECK(harness.relay.quarantine().crashes("bad", harness.now) == 1);
 }
 
-// Guards against a lost link, across which engines do not answer, that counts as their crash.
+// Guards against counting a lost link as the crash of the engines behind it, which do not answer.
 TEST_CASE("an unanswered query does not count as a crash")
 {
     RelayHarness harness(completeEngines());
@@ -369,7 +371,8 @@
     CHECK(harness.sends(flight).size() == 2);
 }
 
-// Guards against two copies at one instance that each crash an engine, where one crash is enough.
+// Guards against two copies of a request at one instance that each crash an engine: with one trial
+// at a time, only one engine crashes.
 TEST_CASE("a request with two crashes has one trial at a time")
 {
     RelayHarness harness(completeEngines());
--- a/src/libbalsamloft/enginefleet.cpp
+++ b/src/libbalsamloft/enginefleet.cpp
@@ -112,9 +112,9 @@
     listConfirmed(now);
     if (isOutdated(endpoint))
         return;
-    // A process that announced its exit keeps leaving, even if its entry is removed: an older
-    // entry that is written late must not bring new requests to it. A new process under the
-    // same name begins without the announcement.
+    // A process that announced its exit stays marked as leaving, even if its entry is removed.
+    // Otherwise an older entry that is written late would bring new requests to the process. A new
+    // process under the same name begins without the announcement.
     Start &start = m_starts[endpoint.name];
     if (endpoint.startedAt > start.startedAt)
         start = {};
--- a/src/libbalsamloft/gapfiller.cpp
+++ b/src/libbalsamloft/gapfiller.cpp
@@ -132,8 +132,8 @@
 }
 
 /// Excludes engines that were first seen empty only recently. The lease holder may assign layers to
-/// them too. Neither side sees the other's order, so one of them would then close the gap a second
-/// time, with engines that are needed elsewhere.
+/// them too. Neither this instance nor the lease holder sees the order of the other one. One of the
+/// two orders would then close the gap a second time, with engines that are needed elsewhere.
 void GapFiller::delayEmptyEngines(std::vector<Engine> &engines, Time now)
 {
     for (Engine &each : engines) {
--- a/src/libbalsamloft/gapfiller_test.cpp
+++ b/src/libbalsamloft/gapfiller_test.cpp
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-/// A domain with engines that hold up to 94 % of their memory in layers.
+/// A domain with engines. Layers may take up to 94 % of an engine's memory.
 struct Domain
 {
     explicit Domain(std::uint32_t layers)
@@ -110,8 +110,8 @@
     CHECK_FALSE(domain.fill(filler, milliseconds(150)).empty());
 }
 
-// The neighbours lack the memory. A restarted, empty engine loads the layers if the lease
-// holder has not assigned any to it within the delay.
+// The neighbours of a gap lack the memory to close it. A restarted, empty engine loads the layers
+// if the lease holder has not assigned any to it within the delay.
 TEST_CASE("an empty engine loads a gap that its neighbours have no memory for, after a delay")
 {
     Domain domain(96);
@@ -179,8 +179,9 @@
     }
 }
 
-// The lease holder moves an engine while the domain reader, based on a report that is a
-// second old, sends it an addition, which would release the layers that were just loaded.
+// The lease holder moves an engine. Meanwhile the domain reader, based on a report that is a second
+// old, orders the same engine to add layers. That order would make the engine release the layers
+// that it has just loaded.
 TEST_CASE("an addition to an engine that was moved since no longer keeps its layers")
 {
     Domain domain(8);
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -15,7 +15,8 @@
 constexpr double SingleHolderCost = 6; ///< of a layer with one holder
 /// Cost of a layer whose holders have no KV capacity; falls as their capacity grows.
 constexpr double NoCapacityCost = 100;
-/// Concurrent requests at which that cost is halved.
+/// The cost for a lack of KV capacity is halved if the holders can serve this many requests at
+/// once.
 constexpr double HalfCostRequests = 8;
 /// Cost of loading one layer: time, and load on the weight store.
 constexpr double LayerLoadCost = 0.4;
@@ -210,7 +211,7 @@
         assigned += counts[i];
     }
     for (; assigned < layers; ++assigned) {
-        // The next layer goes where the share per unit of memory stays smallest.
+        // The next layer goes to the part that then has the fewest layers per unit of size.
         std::size_t best = sizes.size();
         for (std::size_t i = 0; i < sizes.size(); ++i)
             if (counts[i] < maxLayers[i]
@@ -380,9 +381,9 @@
     return GapFiller::canCloseAllGaps(std::move(engines), model.layers);
 }
 
-/// Whether an empty engine carries out an order that another instance sent. The
-/// layers that it will hold are unknown here. If other engines were moved over the same gap, they
-/// would release layers that are needed.
+/// Whether an empty engine has been carrying out another instance's order for less than
+/// replanAfter. This planner does not know which layers the engine will hold. If the planner moved
+/// other engines over the same gap, they would release layers that are needed.
 bool LayerPlanner::filledByOthers(const Group &group, GroupHistory &history, Time now) const
 {
     const bool filling =
--- a/src/libbalsamloft/layerplanner_test.cpp
+++ b/src/libbalsamloft/layerplanner_test.cpp
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Requires that the ordered layers fit the engine's memory: otherwise it would crash.
+    /// Requires that the ordered layers fit the engine's memory: otherwise the engine would crash.
     void check(const LayerOrder &order)
     {
         const FleetEndpoint *each = fleet.find(order.endpoint);
@@ -66,7 +66,7 @@
         REQUIRE((order.layers.end - order.layers.begin) * service.model->layerMegabytes <= size);
     }
 
-    /// Holders of the layer with the fewest of them, in \a domain or in all domains.
+    /// Number of holders of the layer with the fewest holders, in \a domain or in all domains.
     std::size_t minHolders(std::string_view domain = {}) const
     {
         std::size_t minHolders = 1000;
--- a/src/libbalsamloft/loadview.cpp
+++ b/src/libbalsamloft/loadview.cpp
@@ -80,9 +80,9 @@
 {
     EndpointState &state = m_states[id];
     const std::uint32_t total = report.running + report.waiting;
-    // The report may be up to reportLag old, and more of the reported requests may have been
-    // own requests at that time. Counting own requests that have finished since as those of other
-    // instances would leave slots empty; the opposite error only costs a refusal.
+    // The report may be up to reportLag old, and this instance may have had more requests on the
+    // endpoint at that time. If those that have finished since were counted as requests of other
+    // instances, slots would stay empty. The opposite error only costs a refusal.
     updatePeak(state, now);
     const std::uint32_t own = std::max(state.ownPeak, state.previousOwnPeak);
     state.otherRequests = total > own ? total - own : 0;
--- a/src/libbalsamloft/pathchooser.cpp
+++ b/src/libbalsamloft/pathchooser.cpp
@@ -60,13 +60,13 @@
     std::vector<double> m_costs;
 };
 
-/// The cost of running all layers before a boundary, and the entry of the search table that
-/// the last part continues.
+/// The cheapest path found over all layers before a boundary: its cost, and the entry of the search
+/// table for the path without its last part.
 struct PartialPath
 {
     double cost = NoCost;
     std::size_t fromBoundary = 0;
-    std::size_t candidate = 0; ///< the engine before that boundary
+    std::size_t candidate = 0; ///< the engine that runs the layers before fromBoundary
 };
 
 /// Finds the cheapest path over a set of engines by dynamic programming. Boundaries are the
@@ -154,9 +154,9 @@
         }
     };
 
-    /// Finds the cheapest partial paths to \a boundary by domain. The cost of continuing one
-    /// depends only on the domain in which it ends. Comparing all engines instead would keep
-    /// the CPU of a small instance busy for tens of milliseconds with a thousand engines.
+    /// Finds the cheapest partial paths to \a boundary by domain. The cost of continuing a partial
+    /// path depends only on the domain in which the path ends. Comparing all engines instead would
+    /// keep the CPU of a small instance busy for tens of milliseconds with a thousand engines.
     void findCheapest(std::size_t boundary)
     {
         m_cheapest.assign(m_domainChangeCosts.count(), CheapestTwo {});
@@ -358,7 +358,7 @@
         searchAmong(std::move(engines), m_settings.otherDomainFactor,
                     m_settings.otherDomainPenaltyMs);
     // Paths through several domains: a path that mostly stays in this instance's domain puts less
-    // load on the others than a path that lies entirely in another domain.
+    // load on the other domains than a path that lies entirely in another domain.
     if (!ownFound)
         searchAmong(usable, 1, 0);
     // A path over a busy link is better than none.
--- a/src/libbalsamloft/pathchooser_test.cpp
+++ b/src/libbalsamloft/pathchooser_test.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-// A wrong sequence of layers gives wrong tokens, so this holds for every path.
+// A wrong sequence of layers gives wrong tokens, so every path is checked.
 TEST_CASE("paths over random engines run each layer once, in order, and no engine twice")
 {
     std::mt19937_64 random(20261202);
@@ -118,9 +118,9 @@
         CHECK(chooser()->parts.front().endpoint == "2");
 }
 
-// The only holder of some layers in a domain crashes. Paths there use these layers of another
-// domain, so that the domain's own engines stay in use and the other domain does not get all
-// of its requests.
+// The only holder of some layers in a domain crashes. Paths of that domain run these layers in
+// another domain, so that the first domain's other engines stay in use and the other domain does
+// not get all requests of the first one.
 TEST_CASE("a path runs layers that its domain lacks in another domain")
 {
     ChooserHarness chooser;
@@ -136,9 +136,9 @@
     CHECK(path->parts[2].endpoint == "2");
 }
 
-// All paths of a domain that lacks layers would cross the same link. Prompts pass it one after
-// another and would wait for each other for seconds, so beyond a given utilization further
-// requests run entirely in the other domain.
+// All paths of a domain that lacks layers would cross the same link. Prompts pass the link one
+// after another and would wait for each other for seconds. Above half utilization, further requests
+// therefore run entirely in the other domain.
 TEST_CASE("a link at half utilization gets no new paths while there are others")
 {
     ChooserHarness chooser;
--- a/src/libbalsamloft/quarantine.cpp
+++ b/src/libbalsamloft/quarantine.cpp
@@ -288,9 +288,9 @@
                });
 }
 
-/// Whether the request succeeded after one of the crashes or at most successWindow before it.
-/// A request that many callers send is on several endpoints when these crash together for
-/// another reason.
+/// Whether the request succeeded after one of the crashes or at most successWindow before it. Such
+/// a request may be harmless: one that many callers send can be on several endpoints that crash
+/// together for another reason.
 bool Quarantine::succeededBefore(const std::string &digest, const Crashes &records) const
 {
     const auto success = m_successes.find(digest);
@@ -333,7 +333,7 @@
 }
 
 /// Whether other instances recorded a crash with the request. If so, several instances receive
-/// copies of it, and each could crash one more endpoint.
+/// copies of the request, and each could crash one more endpoint.
 bool Quarantine::observedElsewhere(const Crashes &records, Time now) const
 {
     return std::any_of(records.begin(), records.end(), [&](const auto &each) {
--- a/src/libbalsamloft/quarantine_test.cpp
+++ b/src/libbalsamloft/quarantine_test.cpp
@@ -14,7 +14,7 @@
 
 const Time Start {std::chrono::hours(1)};
 
-/// Breaks early attempts of all \a digests by a crash of \a endpoint.
+/// Crashes \a endpoint, which breaks an early attempt of each of \a digests.
 void crashWith(Quarantine &quarantine, const std::string &endpoint,
                const std::vector<std::string> &digests, Time now = Start)
 {
@@ -121,8 +121,8 @@
     CHECK_FALSE(isQuarantined(quarantine, "beside"));
 }
 
-// Guards against a decision from the records of one instance, while another instance sent the
-// request that explains all crashes.
+// Guards against a decision that is based on the records of one instance only: another instance may
+// have sent the request that explains all crashes.
 TEST_CASE("a request is deferred until the records of other instances have arrived")
 {
     Quarantine quarantine;
--- a/src/libbalsamloft/relay.cpp
+++ b/src/libbalsamloft/relay.cpp
@@ -47,9 +47,9 @@
     return m_budgets.try_emplace(name, settings).first->second;
 }
 
-/// Divides the slack by the maximum number of instances in the last window. An instance that
-/// left may have used its share in that window. If the others received it at once, a rolling
-/// restart would let the fleet spend the slack twice.
+/// Divides the slack by the maximum number of instances in the last window. An instance that left
+/// may have used its share in that window. If the remaining instances received that share at once,
+/// a rolling restart would let the fleet spend the slack twice.
 double Relay::slackShare() const
 {
     std::size_t maxCount = m_instanceCounts.empty() ? AssumedInstances : 1;
@@ -316,7 +316,8 @@
         return finish(id, outcomeOf(flight, FlightOutcome::TimedOut), "deadline exceeded", actions);
     if (blockIfSuspected(id, flight, now, actions))
         return;
-    // This runs at each tick while the flight waits: avoid the path search without a retry.
+    // This runs at each tick while the flight waits: skip the path search while no retry is
+    // available.
     if (flight.nextSendIsRetry && !budget(flight).canWithdraw(now))
         return;
     SendRequest send;
--- a/src/libbalsamloft/relay_test.cpp
+++ b/src/libbalsamloft/relay_test.cpp
@@ -144,8 +144,8 @@
 }
 
 // Guards against new requests that use up the retry budget. An overloaded fleet rejects them one
-// after another; then the engine of a stream that began seconds ago fails. Without a retry its
-// answer would be truncated, while callers of refused requests can retry.
+// after another; then the engine of a stream that began seconds ago fails. Without a retry the
+// stream would be truncated, while callers of refused requests can retry.
 TEST_CASE("new requests leave retries for started streams")
 {
     RelayHarness harness(twoPaths(), onlySlack(2, milliseconds(3'000)));
@@ -323,7 +323,7 @@
 
 namespace {
 
-/// Twelve started streams, and the last engine of the first one's path as the dead engine.
+/// Twelve started streams. The last engine on the path of the first stream is the dead engine.
 struct RunningStreams
 {
     explicit RunningStreams(RelayHarness &harness)
@@ -359,8 +359,9 @@
 } // namespace
 
 // Guards against long pauses when an engine in the middle of a path fails silently. The first
-// engine reports which engine does not answer and is ordered to change the path. Since it no longer
-// knows the request, the stream is retried, within half a second of its last event.
+// engine reports which engine does not answer and is ordered to change the path. In this test, the
+// first engine no longer knows the request, so the stream is retried, within half a second of its
+// last event.
 TEST_CASE("streams through an unresponsive engine are moved, others are not")
 {
     RelayHarness harness(twoPaths());
@@ -417,7 +418,7 @@
     CHECK(harness.sends(stream).size() == 2);
 }
 
-// Guards against a retry after the new path lacks memory too, while there is a third one.
+// Guards against a retry when the new path lacks memory too but a third path exists.
 TEST_CASE("a refused path change is repeated with another path")
 {
     std::vector<RelayEngine> engines = twoPaths();
@@ -436,8 +437,8 @@
     CHECK_FALSE(harness.finished(stream));
 }
 
-// Guards against suspected engines, retries and refusals after the process was paused for four
-// seconds, in which all its streams seemed to be silent.
+// After the process was paused for four seconds, all its streams seem to have been silent. Guards
+// against suspicion of their engines, and against retries and refusals.
 TEST_CASE("a pause of the process is not counted as a pause of its streams")
 {
     RelayHarness harness(twoPaths());
@@ -483,7 +484,8 @@
     CHECK_FALSE(harness.relay.maySend(stream, send.attempt, harness.now));
 }
 
-// Guards against streams that resume on a draining engine: they are new work for it.
+// Guards against streams that resume on a draining engine: a resumed stream is new work for the
+// engine.
 TEST_CASE("a draining engine receives neither new requests nor resumed streams")
 {
     RelayHarness harness(twoPaths());
@@ -537,8 +539,8 @@
     CHECK(harness.passed(call));
 }
 
-// Guards against a change that is ignored because it is older than the last confirmation that all
-// other states of the domain are unchanged.
+// An engine's changed state may be older than the last confirmation that all other engines of the
+// domain are unchanged. Guards against ignoring such a change.
 TEST_CASE("an engine's changed state applies although its domain was confirmed unchanged later")
 {
     RelayHarness harness({{"e1", {0, 8}}});
@@ -577,8 +579,8 @@
     CHECK_FALSE(harness.relay.engines().load("e1", "near", harness.now).reported);
 }
 
-// Guards against reports that arrive after a later answer of the engine, received here or by
-// another instance.
+// Guards against applying an old report of an unresponsive engine that has answered since, whether
+// this instance or another one received the answer.
 TEST_CASE("an outdated report of an unresponsive engine is ignored after the engine answered")
 {
     RelayHarness harness({{"engine", {0, 8}}});
--- a/src/libbalsamloft/relaywatch.cpp
+++ b/src/libbalsamloft/relaywatch.cpp
@@ -6,7 +6,8 @@
 
 namespace balsamloft {
 
-/// The first endpoint on the flight's path that is suspected or no longer listed.
+/// The first engine on the flight's path that is suspected or no longer listed. Without a path: the
+/// flight's plain endpoint if it is suspected.
 std::optional<std::string> Relay::firstSuspect(const Flight &flight, Time now) const
 {
     if (flight.path.empty())
@@ -73,8 +74,8 @@
     tick(now, actions);
 }
 
-/// Discounts the time that this process was paused. All its streams seem to have paused for that
-/// time, so that all their engines would be suspected.
+/// Discounts the time that this process was paused. Otherwise all its streams would seem to have
+/// paused for that time, and all their engines would be suspected.
 void Relay::discountPause(Time now)
 {
     const Duration pause = now - m_lastTick;
--- a/src/libbalsamloft/trialpermits_test.cpp
+++ b/src/libbalsamloft/trialpermits_test.cpp
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Requests a permit for an instance; \a answerLost: it does not receive the store's answer.
+    /// Requests a permit for an instance; \a answerLost: the instance does not receive the store's
+    /// answer.
     TrialAnswer requestPermit(std::size_t instance, const TrialRequest &request,
                               bool answerLost = false)
     {
@@ -106,7 +107,7 @@
     CHECK(fleet.requestPermit(1, {"beside", "e2"}).granted);
 }
 
-// Guards against a content that stays blocked because the holder of its permit was killed.
+// Guards against a request that stays blocked because the holder of its permit was killed.
 TEST_CASE("a trial of a crashed holder may be repeated after its permit expired")
 {
     Fleet fleet(2);
