--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -59,7 +59,7 @@
     /// Time after a crash by which the records of all instances have been received.
     Duration propagationDelay {2'000'000};
     /// With this many crashes, a request is only sent as a trial, and its attempts without a permit
-    /// are abandoned.
+    /// are abandoned unless they have events.
     std::size_t crashesToRequireTrial = 2;
     Duration retention {600'000'000}; ///< how long a crash counts against a request
     /// A single crash is published after this time. Requests that were only on the endpoint by
--- a/src/include/balsamloft/relay.h
+++ b/src/include/balsamloft/relay.h
@@ -166,9 +166,10 @@
     /// The same as a multiple of the expected pause. The longer of the two applies.
     double queryAfterPauses = 4;
     Duration queryInterval {350'000}; ///< minimum time between two queries to one engine
-    Duration suspectPause {120'000}; ///< pause that moves a stream off a suspected engine
+    /// Pause beyond the expected one that moves a stream off a suspected engine.
+    Duration suspectPause {120'000};
     Duration startTimeout {1'700'000}; ///< until the first event; then the request is moved
-    Duration stallTimeout {1'200'000}; ///< pause that moves a stream if no engine is suspected
+    Duration stallTimeout {1'200'000}; ///< the same if no engine is suspected
     /// How long a request waits for a path if it may have run already but has no events.
     Duration rerunTimeout {1'700'000};
     /// How long a started stream waits for a path. Callers disconnect after a pause of two
--- a/src/libbalsamloft/layerplanner.cpp
+++ b/src/libbalsamloft/layerplanner.cpp
@@ -250,9 +250,9 @@
     return orders;
 }
 
-/// Splits \a engines, sorted by speed, into replicas with headroom for requests. Remaining
-/// engines that can't hold the model form no replica; they get layers later, as additional
-/// holders.
+/// Splits \a engines, sorted by speed, into replicas with headroom for requests. Remaining engines
+/// that can't hold the model form no replica; they get layers later, as additional holders. If no
+/// other replica was formed, they form one nevertheless.
 std::vector<std::vector<LayerPlanner::Engine *>>
 LayerPlanner::splitIntoReplicas(const std::vector<Engine *> &engines, double modelMegabytes,
                                 const LayerPlannerSettings &settings)
--- a/src/libbalsamloft/pathchooser_test.cpp
+++ b/src/libbalsamloft/pathchooser_test.cpp
@@ -137,8 +137,8 @@
 }
 
 // All paths of a domain that lacks layers would cross the same link. Prompts pass the link one
-// after another and would wait for each other for seconds. Above half utilization, further requests
-// therefore run entirely in the other domain.
+// after another and would wait for each other for seconds. From half utilization on, further
+// requests therefore run entirely in the other domain.
 TEST_CASE("a link at half utilization gets no new paths while there are others")
 {
     ChooserHarness chooser;
--- a/src/libbalsamloft/placement.cpp
+++ b/src/libbalsamloft/placement.cpp
@@ -38,8 +38,8 @@
                        std::string_view replica)
 {
     std::vector<std::uint32_t> counts(engines.size(), 0);
-    // Each layer goes to the engine whose stage is fastest with this layer added. The slowest stage
-    // then is as fast as the engines' memory permits.
+    // Each layer goes to the engine whose stage is fastest with this layer added. This makes the
+    // slowest stage as fast as the engines' memory permits.
     for (std::uint32_t layer = 0; layer < model.layers; ++layer) {
         std::size_t best = engines.size();
         for (std::size_t i = 0; i < engines.size(); ++i) {
--- a/src/libbalsamloft/relaycrashes.cpp
+++ b/src/libbalsamloft/relaycrashes.cpp
@@ -6,8 +6,8 @@
 
 namespace balsamloft {
 
-/// Records that the endpoint broke the attempt. A crash interrupts all attempts on the endpoint,
-/// but only an attempt that started recently can be the cause.
+/// Records that the flight's endpoint broke the attempt. A crash interrupts all attempts on the
+/// endpoint, but only an attempt that started recently can be the cause.
 void Relay::recordBroken(Flight &flight, Time now, RelayActions &actions)
 {
     const FleetEndpoint *endpoint = m_fleet->find(flight.endpoint);
--- a/src/libbalsamloft/relaypath.cpp
+++ b/src/libbalsamloft/relaypath.cpp
@@ -6,10 +6,10 @@
 
 namespace balsamloft {
 
-/// Orders the first engine to continue along another path, after an engine in the middle of the
-/// path failed. The first engine, its connection and most of the prefilled state are intact. A
-/// retry would prefill the prompt on all engines again and use one of the few retries, so a retry
-/// is only the fallback.
+/// Orders the first engine of the flight's path to continue along another path, after a later
+/// engine of the path failed. The first engine, its connection and most of the prefilled state are
+/// intact. A retry would prefill the prompt on all engines again and use one of the few retries, so
+/// a retry is only the fallback.
 /// \return whether an order was sent.
 bool Relay::changePath(FlightId id, Flight &flight, Time now, RelayActions &actions)
 {
