--- a/src/include/balsamloft/quarantine.h
+++ b/src/include/balsamloft/quarantine.h
@@ -110,8 +110,9 @@
     /// The process of \a endpoint has certainly terminated.
     void endpointCrashed(const std::string &endpoint, Time now);
 
-    /// The reader of the domain reported that \a endpoint answered no instance as of \a at. The
-    /// reader is in the same domain, so it does not mistake a lost link for a crash.
+    /// The domain reader, which polls the domain's engines, reported that \a endpoint did not
+    /// answer as of \a at. The domain reader is in the same domain as the endpoint, so it does not
+    /// mistake a lost link for a crash.
     void endpointUnresponsive(const std::string &endpoint, Time at);
 
     /// \a endpoint is no longer listed. A partition also removes endpoints from the list, so
