--- a/src/fakes/crashsimulation.cpp
+++ b/src/fakes/crashsimulation.cpp
@@ -591,7 +591,7 @@
     const auto it = m_callers[instance].find(finish.flight);
     Caller caller = it->second;
     m_callers[instance].erase(it);
-    if (!caller.crashing && finish.reason.starts_with("quarantined"))
+    if (!caller.crashing && finish.reason.starts_with("request quarantined"))
         m_harmless.quarantined += 1;
     if (finish.outcome != FlightOutcome::Truncated && caller.retries > 0) {
         caller.retries -= 1;
