--- a/src/bench/decision.h
+++ b/src/bench/decision.h
@@ -1,5 +1,5 @@
 /// \file
-/// The cost of one routing decision.
+/// Makes single routing decisions, to measure their cost.
 
 #pragma once
 
--- a/src/fakes/routerharness.h
+++ b/src/fakes/routerharness.h
@@ -43,13 +43,15 @@
     }
     EngineModel model;
     std::string domain;
-    std::uint32_t epoch = 0; ///< increased by kill(): steps of earlier epochs are dropped
+    /// Increased by kill(). Steps sent in an earlier epoch fail, and their answers are dropped.
+    std::uint32_t epoch = 0;
     bool killed = false; ///< refuses and resets connections
     bool frozen = false; ///< accepts data, but neither steps nor probes are answered
-    std::uint32_t answersToDrop = 0; ///< next answers that are lost
-    std::uint32_t answersToMisroute = 0; ///< next answers that carry another request's id
-    Duration extraLatency {}; ///< of the link, one way
-    std::map<Time, LoadReport> reports; ///< past reports, for reportLag
+    std::uint32_t answersToDrop = 0; ///< how many of the next answers are lost
+    /// How many of the next answers carry the id of another request.
+    std::uint32_t answersToMisroute = 0;
+    Duration extraLatency {}; ///< additional one-way latency of the link
+    std::map<Time, LoadReport> reports; ///< past load reports, for HarnessSettings::reportLag
 };
 
 /// Number of routers, latencies and seed of a RouterHarness.
@@ -147,7 +149,7 @@
     std::deque<HarnessEngine> m_engines;
     std::vector<std::map<std::uint64_t, SentStep>> m_sent; ///< by engine and ticket
     std::vector<Time> m_advanceAt;
-    std::vector<std::size_t> m_engineOf; ///< by EndpointId, the same for all routers
+    std::vector<std::size_t> m_engineOf; ///< engine index by EndpointId, the same for all routers
     std::map<RequestId, CallerRecord> m_records;
     std::priority_queue<Event> m_events;
     TableModel m_tables;
--- a/src/include/balsamloft/fairqueue.h
+++ b/src/include/balsamloft/fairqueue.h
@@ -24,7 +24,7 @@
     double share = 1; ///< weight of the team, greater than zero
     Priority priority = Priority::Normal;
     Time deadline {};
-    double cost = 1; ///< expected work in tokens, to which the shares apply
+    double cost = 1; ///< expected work in tokens; the shares divide work, not request counts
 };
 
 /// Orders waiting requests: strict priority between priority classes, weighted fair
@@ -43,7 +43,8 @@
     /// Removes \a request. Returns false if it was not in the queue.
     bool remove(RequestId request);
 
-    /// Removes the first request and charges its cost to its team.
+    /// Removes the first request. Charges its cost to its team, unless the request resumes after a
+    /// failure.
     void pop();
 
     // Queries
@@ -53,9 +54,10 @@
     bool empty() const { return m_items.empty(); }
     std::size_t size() const { return m_items.size(); }
 
-    /// Estimates the cost of the requests that would be served before a new request of \a team
-    /// with \a priority: all requests of higher classes, and the team's own queue in this class
-    /// divided by the team's share among the waiting teams.
+    /// Estimates the cost of the requests that would be served before a new request of \a team with
+    /// \a priority. The estimate adds up the cost of all requests of higher classes and, for this
+    /// class, the cost of the team's waiting requests divided by the team's share among the waiting
+    /// teams, but at most the cost of the whole class.
     double costAhead(Priority priority, std::string_view team, double share) const;
 
 private:
--- a/src/include/balsamloft/lease.h
+++ b/src/include/balsamloft/lease.h
@@ -38,9 +38,8 @@
 inline constexpr std::string_view LeaseTable = "leases";
 
 /// Acquires and renews a lease. Clocks of different processes are never compared: the holder
-/// measures the duration from the time at which it sent the write, and another process takes
-/// over only after it has observed the row unchanged for longer than the duration on its own
-/// clock.
+/// measures the duration from the time at which it sent the write, and another process takes over
+/// only after it has seen the row unchanged, by its own clock, for longer than the duration.
 class LeaseManager
 {
 public:
@@ -62,8 +61,8 @@
     /// order, because the lease may have expired while the process was suspended.
     bool holds(Time now) const { return m_holding && now < m_heldUntil; }
 
-    /// The fencing token, which increases with each change of the holder. Valid while holds()
-    /// returns true.
+    /// The fencing token, which increases each time that a process acquires the lease. Valid while
+    /// holds() returns true.
     std::uint64_t fencing() const { return m_fencing; }
     Time acquiredAt() const { return m_acquiredAt; }
     Time nextWakeup() const { return m_nextTick; }
--- a/src/libbalsamloft/property_test.cpp
+++ b/src/libbalsamloft/property_test.cpp
@@ -35,7 +35,8 @@
         perform(manager, actions);
     }
 
-    /// Advances the time by 100 ms and answers all pending actions with the fault \a fault.
+    /// Advances the time by 100 ms and answers all pending actions. If \a fault modulo 4 is 1, the
+    /// actions do not reach the table; if it is 2, their answers are lost.
     void step(int fault)
     {
         m_now += std::chrono::milliseconds(100);
@@ -153,7 +154,7 @@
         Time now(std::chrono::seconds(10));
         for (const int draw : schedule) {
             now += std::chrono::milliseconds(500 + draw * 20);
-            // Processes whose bit is set are paused in this step.
+            // Processes whose bit is set in `draw` are paused in this step.
             for (std::size_t i = 0; i < managers.size(); ++i) {
                 if ((draw >> i & 1) != 0)
                     continue;
@@ -308,8 +309,9 @@
             RC_ASSERT(expectedText.starts_with(record.text()));
             if (record.answer)
                 RC_ASSERT(record.answer->body == expectedText);
-            // A restart clears an engine's log, so the logs may lack attempts, but never contain
-            // additional ones.
+            // A restart clears an engine's log, so the logs may lack attempts that were made. They
+            // never list attempts that were not made, so a request refused as not executed must
+            // have none.
             if (record.refusal && record.refusal->ran == Executed::No)
                 RC_ASSERT(attempts[id].empty());
             if (record.request.nonIdempotent)
--- a/testsuite/claims/claims_test.cpp
+++ b/testsuite/claims/claims_test.cpp
@@ -61,7 +61,7 @@
 TEST_CASE("a call succeeds if the answer to its claim is lost", "[process][claims][failure]")
 {
     // The claim takes effect, but the platform's answer is lost. The instance must read the row and
-    // recognize its own nonce, or it would refuse its own call as a duplicate.
+    // recognize the nonce that it wrote. Otherwise it would refuse this call as a duplicate.
     Fleet fleet;
     startFleet(fleet);
     fleet.injectFaults(fleet.platform(), {{"lose_answers", 1}, {"lose_from", "claims"}});
@@ -76,7 +76,7 @@
           "[process][claims][failure]")
 {
     // The instance is killed after its claim took effect and before it sent the call. Other
-    // instances cannot distinguish this from an executed call, so the retry is answered with
+    // instances cannot distinguish this case from an executed call, so the retry is answered with
     // "unknown" and not executed.
     Fleet fleet;
     startFleet(fleet);
@@ -143,8 +143,9 @@
 TEST_CASE("calls with a key are refused during a platform outage, calls without one are executed",
           "[process][claims][failure]")
 {
-    // A claim needs the platform, so a call with a key is refused at its deadline and reported as
-    // not executed. The configuration stays in use, and the same key works after the outage.
+    // Without the platform an instance cannot claim a key. A call with a key is therefore refused
+    // at its deadline and reported as not executed. Calls without a key are still executed, and
+    // the same key works after the outage.
     Fleet fleet;
     startFleet(fleet);
     fleet.injectFaults(fleet.platform(), {{"down", true}});
--- a/testsuite/cost/main.cpp
+++ b/testsuite/cost/main.cpp
@@ -1,7 +1,7 @@
 // Measures what forwarding costs an instance: one real process with a fake store and fake endpoints
 // handles many concurrent streams and calls. Prints processor time and memory, and the number of
-// socket operations and store calls. Counts have bounds, times have none; exits with 1 if a bound
-// is exceeded.
+// socket operations and store calls. The counts have bounds, the times have none. The program exits
+// with 1 if a bound is exceeded.
 
 #include "../common/process.h"
 #include "../common/wait.h"
@@ -149,7 +149,7 @@
         std::ifstream stat(directory + "stat");
         std::string field;
         for (int i = 1; i <= 15 && stat >> field; ++i)
-            if (i >= 14) // utime and stime
+            if (i >= 14) // fields 14 and 15: utime and stime
                 sample.cpuMs += 1000 * std::atof(field.c_str()) / double(::sysconf(_SC_CLK_TCK));
         std::ifstream statm(directory + "statm");
         double pages = 0;
